--- a/include/jackdawvane/sessions/backend_directory.hpp
+++ b/include/jackdawvane/sessions/backend_directory.hpp
@@ -10,57 +10,57 @@
 
 namespace jackdawvane {
 
-/// @brief Times of the directory.
+/// @brief Durations for handling an outage of the registry.
 struct directory_settings {
-    /// A registration that lapsed while the registry was away is back within 2 s of its return.
-    duration return_grace{std::chrono::milliseconds{2200}};
-    /// A longer gap between two readings counts as an outage of the registry.
-    duration outage_gap{std::chrono::milliseconds{2500}};
+    /// Missing servers are kept this long after an outage of the registry; a registration that
+    /// expired during the outage is back within 2 s of its end.
+    duration reregistration_grace{std::chrono::milliseconds{2200}};
+    /// A longer gap between two reads counts as an outage of the registry.
+    duration outage_threshold{std::chrono::milliseconds{2500}};
 };
 
-/// @brief Backend servers that have registered themselves, as of the last reading.
+/// @brief Backend servers that have registered themselves, as of the last read of the registry.
 class backend_directory {
   public:
     /// @brief A registered backend server.
     struct entry {
         backend_registration registration;
-        time_point leaving_since{no_deadline}; ///< When it was first read as leaving.
-        /// Last reading that listed it as staying; unset when there was none.
+        time_point leaving_since{no_deadline}; ///< When it was first listed as leaving.
+        /// Time of the last read that listed it as not leaving; `min()` when there was none.
         time_point staying_at{time_point::min()};
         time_point absent_since{no_deadline}; ///< Missing after an outage of the registry.
     };
 
     explicit backend_directory(directory_settings settings = {}) : settings_{settings} {}
 
-    /// @brief Takes a reading.
-    /// @param read_at time before the registry was asked
-    /// @param version the registry's version; readings older than the last are ignored
-    /// @return whether a backend server came, went or changed
+    /// @brief Applies a read of the registry.
+    /// @param read_at time just before the request was sent
+    /// @param version the registry's version; reads older than the last one are ignored
+    /// @return whether a backend server was added, removed or changed, or this is the first read
     bool update(time_point now, time_point read_at, std::uint64_t version,
                 const std::vector<backend_registration>& registrations);
-    /// @brief Another VM read the registry at @a read_at.
-    /// @param changed version of the last change that it saw
-    /// @param read version of its reading
+    /// @brief Records that another VM read the registry at @a read_at.
+    /// @param changed registry version of the last change that it read
+    /// @param read registry version of its last read
     ///
-    /// Its list is the same as the one here if this one's version is between the two.
+    /// Its list is the same as this one if `version()` is between the two.
     void confirm(time_point now, time_point read_at, std::uint64_t changed, std::uint64_t read);
 
     [[nodiscard]] const std::map<backend_server_id, entry>& entries() const noexcept {
         return entries_;
     }
     [[nodiscard]] const entry* find(const backend_server_id& backend) const;
-    /// @brief Backend servers of @a group.
     [[nodiscard]] std::set<backend_server_id> members(const group_id& group) const;
     [[nodiscard]] std::set<group_id> groups() const;
 
-    /// @brief Registry version at which the last change was read. Heartbeats raise the version of
-    /// the registry all the time, so it does not tell whether a list is newer.
+    /// @brief Registry version of the read that last changed the list. Heartbeats raise the version
+    /// of the registry all the time, so that version alone does not tell whether the list changed.
     [[nodiscard]] std::uint64_t version() const noexcept { return version_; }
-    /// @brief Registry version of the last reading.
+    /// @brief Registry version of the last read.
     [[nodiscard]] std::uint64_t read_version() const noexcept { return read_version_; }
     [[nodiscard]] time_point read_at() const noexcept { return read_at_; }
     [[nodiscard]] bool known() const noexcept { return known_; }
-    /// @brief Registrations for another VM.
+    /// @brief Registrations to send to another VM; without those missing since an outage.
     [[nodiscard]] std::vector<backend_registration> registrations() const;
 
   private:
--- a/src/core/sessions/backend_directory.cpp
+++ b/src/core/sessions/backend_directory.cpp
@@ -11,8 +11,8 @@
     if (known_ && version < read_version_) {
         return false;
     }
-    if (known_ && read_at - read_at_ > settings_.outage_gap) {
-        grace_until_ = now + settings_.return_grace;
+    if (known_ && read_at - read_at_ > settings_.outage_threshold) {
+        grace_until_ = now + settings_.reregistration_grace;
     }
     bool changed = !std::exchange(known_, true);
     read_version_ = version;
--- a/tests/core/backend_directory_test.cpp
+++ b/tests/core/backend_directory_test.cpp
@@ -16,7 +16,7 @@
     EXPECT_EQ(directory.find(backend_server_id{"r1"}), nullptr);
 }
 
-// Registrations that lapse while the store is away are back within two seconds of its return.
+// Registrations that expire while the store is unavailable are back within 2 s of its return.
 TEST(BackendDirectory, ServerThatIsMissingAfterAnOutageIsKeptForAWhile) {
     backend_directory directory;
     directory.update(at(0), at(0), 1, {registration("p"), registration("r1")});
@@ -42,8 +42,8 @@
     EXPECT_EQ(directory.find(backend_server_id{"p"})->leaving_since, at(0));
 }
 
-/// Guards against a list that is sent again to every VM after each heartbeat of a server: these
-/// raise the registry's version without a change.
+/// Guards against sending the list again to every VM after each heartbeat of a server: heartbeats
+/// raise the registry's version without changing the list.
 TEST(BackendDirectory, VersionIsThatOfTheLastChange) {
     backend_directory directory;
     directory.update(at(0), at(0), 5, {registration("p")});
@@ -63,7 +63,7 @@
 
 class DirectoryConfirmations : public ::testing::TestWithParam<confirmation_case> {};
 
-/// Guards against a list that counts as current although another VM has seen a later change.
+/// Guards against a list that counts as current although another VM has read a later change.
 TEST_P(DirectoryConfirmations, HoldOnlyForTheSameList) {
     backend_directory directory;
     directory.update(at(0), at(0), 5, {registration("p")});
