--- a/src/core/sessions/group_leadership.cpp
+++ b/src/core/sessions/group_leadership.cpp
@@ -8,43 +8,43 @@
 
 void group_leadership::set_members(std::set<backend_server_id> members) {
     members_ = std::move(members);
-    const auto left = [&](const auto& entry) { return !members_.contains(entry.first); };
-    std::erase_if(evidence_, left);
-    std::erase_if(received_, left);
+    const auto removed = [&](const auto& entry) { return !members_.contains(entry.first); };
+    std::erase_if(evidence_, removed);
+    std::erase_if(received_, removed);
     update_proof();
 }
 
-void group_leadership::on_status(time_point now, time_point asked, const backend_server_id& member,
-                                 const member_status& status) {
+void group_leadership::on_status(time_point now, time_point requested_at,
+                                 const backend_server_id& member, const member_status& status) {
     auto& own = evidence_[member];
-    if (asked < own.asked) {
+    if (requested_at < own.requested_at) {
         return;
     }
     highest_ = std::max({highest_, status.term, status.held_term});
     received_[member] = status.received;
     if (status.role == backend_role::primary && status.term > term_) {
-        new_term(now, status.term, member);
+        start_term(now, status.term, member);
     }
     if (primary_ == member && status.term == term_) {
         stepped_down_ = status.role != backend_role::primary;
-        primary_seen_ = std::max(primary_seen_, asked);
-        // VMs commit in a term only after all proofs of the terms before have run out.
+        primary_seen_ = std::max(primary_seen_, requested_at);
+        // VMs commit in a term only after all proofs of earlier terms have expired.
         if (status.received.term == term_) {
             usable_from_ = std::min(usable_from_, now);
         }
     }
-    own = {asked, status.term <= term_ && status.held_term <= term_, status.held_term > term_,
-           false};
+    own = {requested_at, status.term <= term_ && status.held_term <= term_,
+           status.held_term > term_, false};
     update_proof();
     if (primary_ == member && status.role == backend_role::primary) {
-        add_sample(asked, status.received);
+        add_sample(requested_at, status.received);
     }
 }
 
-void group_leadership::new_term(time_point now, jackdawvane::term newer,
-                                const backend_server_id& primary) {
+void group_leadership::start_term(time_point now, jackdawvane::term newer,
+                                  const backend_server_id& primary) {
     const auto closed_at = closed() ? std::min(closed_since_, now) : now;
-    // Another VM may hold proof of the term before for that long.
+    // Another VM may have a proof of the previous term that is valid for that long.
     usable_from_ = closed_at + settings_.proof_validity;
     term_ = newer;
     primary_ = primary;
@@ -53,14 +53,14 @@
     primary_seen_ = time_point::min();
     samples_.clear();
     for (auto& [member, own] : evidence_) {
-        own.free = false;
+        own.supports_primary = false;
     }
 }
 
-void group_leadership::on_refused(time_point asked, const backend_server_id& member) {
+void group_leadership::on_refused(time_point requested_at, const backend_server_id& member) {
     auto& own = evidence_[member];
-    if (asked >= own.asked) {
-        own = {asked, false, false, true};
+    if (requested_at >= own.requested_at) {
+        own = {requested_at, false, false, true};
         update_proof();
     }
 }
@@ -72,8 +72,8 @@
     }
 }
 
-/// One replica that is not held is proof. Replicas that are down prove it only together: any of
-/// the others could have been promoted.
+/// One replica that is not held is sufficient proof. Replicas that are down are proof only when all
+/// of them are: any other replica could have been promoted.
 void group_leadership::update_proof() {
     auto all_down = time_point::max();
     bool others = false;
@@ -88,13 +88,14 @@
             continue;
         }
         const auto& own = found->second;
-        if (own.free && closed() && own.asked > closed_since_ + settings_.reopen_after) {
-            closed_since_ = time_point::max(); // The promotion was given up and the hold ended.
+        if (own.supports_primary && closed() &&
+            own.requested_at > closed_since_ + settings_.promotion_abandoned_after) {
+            closed_since_ = time_point::max(); // The promotion was abandoned and the hold ended.
         }
-        if (own.free) {
-            confirmed_at_ = std::max(confirmed_at_, own.asked);
+        if (own.supports_primary) {
+            confirmed_at_ = std::max(confirmed_at_, own.requested_at);
         }
-        all_down = own.refused ? std::min(all_down, own.asked) : time_point::min();
+        all_down = own.refused ? std::min(all_down, own.requested_at) : time_point::min();
     }
     if (!others) {
         confirmed_at_ = std::max(confirmed_at_, primary_seen_);
@@ -112,37 +113,40 @@
         confirmed_at_ == time_point::min() || now - confirmed_at_ >= settings_.proof_validity) {
         return false;
     }
-    // A hold in progress ends the term soon; statements sent now would end as unknown.
+    // A hold in progress ends the term soon; statements sent now would have an unknown outcome.
     return std::none_of(evidence_.begin(), evidence_.end(),
                         [](const auto& entry) { return entry.second.held; });
 }
 
-void group_leadership::on_position(time_point asked, const backend_server_id& member,
+void group_leadership::on_position(time_point requested_at, const backend_server_id& member,
                                    const log_point& position) {
     received_[member] = position;
     if (primary_ == member && !stepped_down_) {
-        primary_seen_ = std::max(primary_seen_, asked);
-        add_sample(asked, position);
+        primary_seen_ = std::max(primary_seen_, requested_at);
+        add_sample(requested_at, position);
     }
 }
 
-void group_leadership::add_sample(time_point asked, const log_point& position) {
-    if (confirmed_at_ == time_point::min() || asked - confirmed_at_ >= settings_.proof_validity) {
+void group_leadership::add_sample(time_point requested_at, const log_point& position) {
+    if (confirmed_at_ == time_point::min() ||
+        requested_at - confirmed_at_ >= settings_.proof_validity) {
         return;
     }
-    if (!samples_.empty() && asked - samples_.back().asked < settings_.sample_distance) {
+    if (!samples_.empty() &&
+        requested_at - samples_.back().requested_at < settings_.min_sample_interval) {
         return;
     }
-    samples_.push_back({asked, position});
-    while (samples_.size() > 1 && asked - samples_[1].asked > settings_.history) {
+    samples_.push_back({requested_at, position});
+    while (samples_.size() > 1 &&
+           requested_at - samples_[1].requested_at > settings_.sample_retention) {
         samples_.pop_front();
     }
 }
 
 std::optional<log_point> group_leadership::point_since(time_point when) const noexcept {
-    const auto found =
-        std::lower_bound(samples_.begin(), samples_.end(), when,
-                         [](const sample& each, time_point limit) { return each.asked < limit; });
+    const auto found = std::lower_bound(
+        samples_.begin(), samples_.end(), when,
+        [](const sample& each, time_point limit) { return each.requested_at < limit; });
     return found == samples_.end() ? std::nullopt : std::optional{found->point};
 }
 
--- a/tests/core/group_leadership_test.cpp
+++ b/tests/core/group_leadership_test.cpp
@@ -53,7 +53,7 @@
     EXPECT_FALSE(leadership.confirmed(at(60)));
 }
 
-// Otherwise a promotion that was given up would leave the group without a primary for good.
+// Otherwise an abandoned promotion would leave the group without a primary permanently.
 TEST_F(GroupLeadership, FreeReplicaAfterAGivenUpHoldOpensTheTermAgain) {
     prove(0);
     leadership.on_hold(at(50), term{1});
@@ -61,7 +61,8 @@
     EXPECT_TRUE(leadership.confirmed(at(1060)));
 }
 
-// Another VM may hold proof of the old primary and read there what the new one has changed.
+// Another VM may still have a proof of the old primary and read data there that the new primary has
+// since changed.
 TEST_F(GroupLeadership, NewPrimaryWaitsForOldProofsToRunOut) {
     prove(0);
     leadership.on_status(at(100), at(100), r1, primary_status(2, point(1, 5)));
