--- a/include/jackdawvane/sessions/group_observer.hpp
+++ b/include/jackdawvane/sessions/group_observer.hpp
@@ -13,40 +13,47 @@
 
 namespace jackdawvane {
 
-/// @brief Intervals of the observation of backend servers.
+/// @brief Intervals, timeouts and age limits for the observation of backend servers.
 struct observer_settings {
-    /// Between two statuses of a primary or of a group's witness. With the questions to the
-    /// observer and the round trips it stays well below the validity of a proof.
+    /// Between two status requests to a primary or to a group's proving replica. Together with the
+    /// queries to the observer and the round trips it stays well below the validity of a proof.
     duration status_interval{std::chrono::milliseconds{250}};
-    /// Between two questions about a group while statements wait for its evidence.
+    /// Between two queries about a group while statements wait for evidence of its leadership.
     duration query_interval{std::chrono::milliseconds{100}};
-    /// Between two questions for changes of the registry.
+    /// Between two queries to the reader for changes of the registry.
     duration directory_query_interval{std::chrono::milliseconds{900}};
-    /// A VM that is asked about a group observes it for this long, also if its own view of the
-    /// fleet names another observer.
-    duration asked_memory{std::chrono::seconds{3}};
-    /// VMs of the region that are tried as observer of a group before a VM observes it itself.
+    /// A VM that receives a query about a group observes it for this long, even if its own view of
+    /// the fleet names another observer.
+    duration observe_after_query{std::chrono::seconds{3}};
+    /// Number of VMs of the region that are tried as observer of a group before a VM observes it
+    /// itself.
     std::size_t observer_candidates{6};
-    /// Between two statuses of a replica that is not the witness; each one takes a slot.
+    /// Between two status requests to any other replica; each request takes up a slot.
     duration slow_status_interval{std::chrono::milliseconds{1000}};
-    /// A backend server or observer that does not answer for this long counts as silent.
-    duration answer_limit{std::chrono::milliseconds{400}};
-    duration query_limit{std::chrono::milliseconds{150}};
+    /// A backend server that does not answer a command within this time is disconnected. An
+    /// observer whose answers contain no status younger than this is passed over after this time.
+    duration answer_timeout{std::chrono::milliseconds{400}};
+    /// A VM that does not answer a query within this time counts as unresponsive.
+    duration query_timeout{std::chrono::milliseconds{150}};
     duration reconnect_delay{std::chrono::milliseconds{100}};
-    duration silent_observer_memory{std::chrono::seconds{3}};
-    /// Between two readings of the registry; a leaving server is known well before it goes.
-    duration directory_interval{std::chrono::milliseconds{900}};
-    duration directory_retry{std::chrono::milliseconds{1500}};
-    /// Directory older than this is asked of VMs in other failure domains.
-    duration directory_stale{std::chrono::milliseconds{2000}};
-    duration foreign_query_interval{std::chrono::milliseconds{500}};
-    /// A reader whose list is older is passed over. Above the time between its readings and that
-    /// between the questions to it together.
-    duration reader_limit{std::chrono::milliseconds{2500}};
-    duration old_reader_memory{std::chrono::seconds{2}};
-    /// A VM that gets no list of this age from any reader reads the registry itself.
-    duration unaided_limit{std::chrono::milliseconds{3500}};
-    /// Between two values of the metric of the directory's age.
+    /// An unresponsive VM is passed over for this long. Also the age limit of the statuses that are
+    /// reported to other VMs.
+    duration unresponsive_vm_backoff{std::chrono::seconds{3}};
+    /// Between two reads of the registry; a leaving server is known well before it stops.
+    duration directory_read_interval{std::chrono::milliseconds{900}};
+    /// Timeout of a read of the registry, and delay before the next one after an error.
+    duration directory_retry_interval{std::chrono::milliseconds{1500}};
+    /// With a directory older than this, VMs in other failure domains are queried, too.
+    duration directory_stale_after{std::chrono::milliseconds{2000}};
+    duration other_domain_query_interval{std::chrono::milliseconds{500}};
+    /// A reader whose list is older is passed over. Greater than the sum of the interval between
+    /// its reads and the interval between the queries to it.
+    duration reader_max_age{std::chrono::milliseconds{2500}};
+    /// A reader whose list was old is passed over for this long.
+    duration stale_reader_backoff{std::chrono::seconds{2}};
+    /// A VM without a reader to query reads the registry itself when its list is older than this.
+    duration direct_read_after{std::chrono::milliseconds{3500}};
+    /// Between two samples of the metric `registry_age_ms`.
     duration age_report_interval{std::chrono::milliseconds{1000}};
 };
 
@@ -54,17 +61,19 @@
 struct control_answer {
     backend_server_id backend;
     command_kind command{command_kind::status};
-    std::optional<member_status> status; ///< Absent when the command got no row.
+    std::optional<member_status> status; ///< Absent when the command returned no row.
 };
 
-/// @brief Keeps this VM's knowledge of backend servers fresh.
+/// @brief Keeps this VM's information about backend servers up to date.
 ///
-/// Of each group, one VM per region asks the members for their status; the others ask that VM when
-/// statements need to know. One VM per region reads the registry; the others ask it for changes.
-/// Who that is follows from rendezvous hashing, so the work of a VM does not grow with the fleet.
-/// The primary and one replica, the witness, are asked often. A VM that does not answer is passed
-/// over, so an observer that dies is replaced before its proofs run out. So is a reader whose list
-/// is old, because the store turns it away or is out of its reach.
+/// For each group, one VM per region, the observer, requests the status of the group's backend
+/// servers; the other VMs query the observer when statements need evidence of the leadership. One
+/// VM per region, the reader, reads the registry; the other VMs query it for changes. Observers and
+/// readers are chosen by rendezvous hashing, so the work of a VM does not grow with the fleet.
+/// Status is requested often from the primary and from one replica, the proving replica. A VM that
+/// does not answer is passed over, so a failed observer is replaced before its proofs expire. A
+/// reader is also passed over when its list is old, because the store rejects its requests or is
+/// unreachable from it.
 class group_observer {
   public:
     /// @brief Task name under which VMs are ranked as readers of the registry and, with the name of
@@ -77,19 +86,20 @@
     void tick(time_point now, proxy_output& out);
     [[nodiscard]] time_point next_deadline() const noexcept { return due_; }
 
-    /// @brief Whether this VM has to watch all backend servers itself, as duty holder.
+    /// @brief Sets whether this VM observes all backend servers itself, as failover coordinator.
     void set_always_active(bool active) noexcept { always_active_ = active; }
 
     /// @brief Sends a control command on the control connection of @a backend.
     /// @return whether a connection is open
     bool command(time_point now, const backend_server_id& backend, backend_command command,
                  proxy_output& out);
-    /// @brief Queries one VM of each other failure domain about @a groups and the registry.
+    /// @brief Queries one VM of each other failure domain and the first observers of each region
+    /// about @a groups and the registry.
     void ask_other_domains(time_point now, const std::vector<group_id>& groups, proxy_output& out);
-    /// @brief Asks for the evidence that statements wait for.
+    /// @brief Queries the observers of the groups whose evidence statements wait for.
     void query_awaited(time_point now, proxy_output& out);
 
-    /// @return whether the connection belongs to this part
+    /// @return whether the connection is one of the control connections
     bool on_ready(time_point now, const member_ready& ready, proxy_output& out);
     bool on_closed(time_point now, const member_closed& closed, proxy_output& out);
     bool on_reply(time_point now, const member_replied& replied, proxy_output& out);
@@ -99,14 +109,14 @@
     void on_answer(time_point now, const vm_id& from, const observation_reply& reply,
                    proxy_output& out);
 
-    /// @brief Answers to control commands, in their order.
+    /// @brief Removes and returns the answers to control commands, in the order of arrival.
     [[nodiscard]] std::vector<control_answer> take_answers();
-    /// @brief When the newest question that any backend server has answered was sent.
+    /// @brief Send time of the latest command that any backend server has answered.
     [[nodiscard]] time_point heard() const noexcept { return heard_; }
-    /// @brief When a try to reach @a backend last failed for lack of a listener.
+    /// @brief Start of the last connection attempt to @a backend that was refused.
     [[nodiscard]] time_point refused_at(const backend_server_id& backend) const;
 
-    /// @brief When another VM's try to reach @a backend last failed for lack of a listener.
+    /// @brief As `refused_at`, for connection attempts that other VMs reported.
     [[nodiscard]] time_point refused_elsewhere(const backend_server_id& backend) const;
 
     /// @brief Closes the control connections.
@@ -117,7 +127,7 @@
         command_kind kind;
         time_point at;
     };
-    struct control {
+    struct control_connection {
         connection_id connection;
         bool open{false};
         time_point opened_at{};
@@ -127,7 +137,7 @@
         time_point refused_at{time_point::min()};
     };
     struct observation {
-        time_point asked{};
+        time_point requested_at{};
         std::optional<member_status> status;
     };
 
@@ -135,46 +145,47 @@
     void choose_reader(time_point now);
     /// Whether this VM's list of the registry is older than @a limit.
     [[nodiscard]] bool list_older_than(time_point now, duration limit) const;
-    /// First VM of @a ranked that is not silent; empty when this VM comes first or all are silent.
-    [[nodiscard]] vm_id first_answering(time_point now, const std::vector<vm_id>& ranked) const;
-    [[nodiscard]] const std::vector<vm_id>& ranked_for(const std::string& subject);
+    /// First responsive VM of @a ranked; empty when this VM comes first or none is responsive.
+    [[nodiscard]] vm_id first_responsive(time_point now, const std::vector<vm_id>& ranked) const;
+    [[nodiscard]] const std::vector<vm_id>& candidates_for(const std::string& subject);
     [[nodiscard]] vm_id observer_of(time_point now, const group_id& group);
     void read_directory(time_point now, proxy_output& out);
-    /// Takes over a list of the registry that came from @a source.
-    void take_list(time_point now, time_point read_at, std::uint64_t version,
-                   const std::vector<backend_registration>& list, const std::string& source,
-                   proxy_output& out);
-    /// Reports a reading of the registry that failed or got no answer.
-    void report_unread(time_point now, proxy_output& out) const;
-    /// Reports when the list becomes old and when it is current again.
+    /// Applies a list of the registry that was received from @a source.
+    void apply_list(time_point now, time_point read_at, std::uint64_t version,
+                    const std::vector<backend_registration>& list, const std::string& source,
+                    proxy_output& out);
+    /// Logs a read of the registry that failed or got no answer.
+    void report_failed_read(time_point now, proxy_output& out) const;
+    /// Reports the age of the list as a metric, and logs when it becomes old or current again.
     void report_age(time_point now, proxy_output& out);
-    void watch_members(time_point now, proxy_output& out);
-    /// Replica whose statuses prove the primary of @a group.
-    [[nodiscard]] backend_server_id witness(const group_id& group) const;
-    [[nodiscard]] duration interval_for(time_point now,
-                                        const backend_directory::entry& entry) const;
-    void watch_member(time_point now, const backend_directory::entry& entry, control& own,
-                      proxy_output& out);
-    void open(time_point now, const backend_registration& member, control& own, proxy_output& out);
-    void drop(time_point now, control& own, proxy_output& out);
+    void poll_servers(time_point now, proxy_output& out);
+    /// Replica whose statuses prove that the primary of @a group has not been replaced.
+    [[nodiscard]] backend_server_id proving_replica(const group_id& group) const;
+    [[nodiscard]] duration status_interval_for(time_point now,
+                                               const backend_directory::entry& entry) const;
+    void poll_server(time_point now, const backend_directory::entry& entry, control_connection& own,
+                     proxy_output& out);
+    void open(time_point now, const backend_registration& member, control_connection& own,
+              proxy_output& out);
+    void disconnect(time_point now, control_connection& own, proxy_output& out);
     void expire_queries(time_point now, proxy_output& out);
     void query_directory(time_point now, proxy_output& out);
     void send_query(time_point now, const vm_id& to, std::vector<group_id> groups,
                     bool second_opinion, proxy_output& out);
-    void judge_answer(time_point now, const vm_id& from, const observation_reply& reply,
-                      const std::vector<group_id>& groups);
-    void judge_reader(time_point now, const vm_id& from, const observation_reply& reply,
-                      proxy_output& out);
-    void take_directory(time_point now, time_point asked, const vm_id& from,
-                        const observation_reply& reply, proxy_output& out);
-    void take_observation(time_point now, time_point asked, const member_observation& each);
-    [[nodiscard]] bool silent(time_point now, const vm_id& vm) const;
+    void check_observer_answer(time_point now, const vm_id& from, const observation_reply& reply,
+                               const std::vector<group_id>& groups);
+    void check_reader_answer(time_point now, const vm_id& from, const observation_reply& reply,
+                             proxy_output& out);
+    void apply_directory(time_point now, time_point requested_at, const vm_id& from,
+                         const observation_reply& reply, proxy_output& out);
+    void apply_observation(time_point now, time_point requested_at, const member_observation& each);
+    [[nodiscard]] bool is_unresponsive(time_point now, const vm_id& vm) const;
 
     fleet_state& state_;
     observer_settings settings_;
     id_sequence<connection_id>& connection_ids_;
     id_sequence<request_id>& request_ids_;
-    std::map<backend_server_id, control> controls_;
+    std::map<backend_server_id, control_connection> controls_;
     std::map<connection_id, backend_server_id> by_connection_;
     std::map<backend_server_id, observation> observations_;
     std::map<backend_server_id, time_point> refused_elsewhere_;
@@ -182,33 +193,34 @@
     time_point heard_{};
 
     bool always_active_{false};
-    std::set<group_id> observed_; ///< Groups whose members this VM asks.
-    /// VMs of this region by task, first choice first, for `ranked_version_`.
-    std::map<std::string, std::vector<vm_id>> ranked_;
-    std::uint64_t ranked_version_{0};
-    vm_id reader_;      ///< VM of the own region that is asked for the registry, if any.
-    bool reads_{false}; ///< Whether it is this VM's turn to read the registry.
-    std::map<vm_id, time_point> old_readers_; ///< When a VM last answered with an old list.
-    std::map<vm_id, time_point> silent_since_;
-    std::map<vm_id, time_point> ignorant_since_; ///< Answers, but knows nothing recent.
-    std::map<group_id, time_point> asked_until_;
+    std::set<group_id> observed_; ///< Groups whose backend servers this VM polls.
+    /// VMs of this region by task, in order of preference, as of fleet version
+    /// `candidates_version_`.
+    std::map<std::string, std::vector<vm_id>> candidates_;
+    std::uint64_t candidates_version_{0};
+    vm_id reader_;          ///< VM of this region that is queried for the registry, if any.
+    bool is_reader_{false}; ///< Whether this VM reads the registry for its region.
+    std::map<vm_id, time_point> stale_readers_; ///< Time of the last answer with an old list.
+    std::map<vm_id, time_point> unresponsive_at_;
+    std::map<vm_id, time_point> uninformed_since_; ///< VMs that answer without a recent status.
+    std::map<group_id, time_point> observe_until_;
     std::map<group_id, time_point> next_group_query_;
     struct open_query {
         vm_id to;
         time_point at;
         std::vector<group_id> groups;
-        bool second_opinion{false}; ///< To a VM that need not be an observer.
+        bool second_opinion{false}; ///< Sent to a VM that need not be an observer.
     };
     std::map<std::uint64_t, open_query> queries_;
     std::uint64_t query_number_{0};
     time_point next_directory_query_{};
-    time_point next_foreign_query_{};
+    time_point next_other_domain_query_{};
 
-    request_id directory_call_;
+    request_id directory_request_;
     bool directory_pending_{false};
-    time_point directory_sent_{};
-    time_point directory_at_{};
-    bool directory_old_{false}; ///< As last reported.
+    time_point directory_requested_at_{};
+    time_point next_directory_read_{};
+    bool reported_stale_{false}; ///< As last logged.
     time_point next_age_report_{};
     time_point due_{};
 };
--- a/src/core/sessions/group_observer.cpp
+++ b/src/core/sessions/group_observer.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr const char* log_part = "observer";
-/// Resolution of this part's timers while it observes or waits for an answer.
+/// Timer resolution while this VM observes groups or waits for an answer.
 constexpr duration tick_step = std::chrono::milliseconds{25};
-/// As `tick_step`, at other times.
+/// Timer resolution at other times.
 constexpr duration idle_step = std::chrono::milliseconds{100};
 
 } // namespace
@@ -28,22 +28,23 @@
     expire_queries(now, out);
     choose_roles(now);
     read_directory(now, out);
-    watch_members(now, out);
+    poll_servers(now, out);
     query_directory(now, out);
     report_age(now, out);
-    if (state_.directory.known() && now - state_.directory.read_at() > settings_.directory_stale &&
-        now >= next_foreign_query_) {
+    if (state_.directory.known() &&
+        now - state_.directory.read_at() > settings_.directory_stale_after &&
+        now >= next_other_domain_query_) {
         ask_other_domains(now, {}, out);
     }
     due_ = now + (controls_.empty() && queries_.empty() ? idle_step : tick_step);
 }
 
-const std::vector<vm_id>& group_observer::ranked_for(const std::string& subject) {
-    if (ranked_version_ != state_.fleet_version) {
-        ranked_version_ = state_.fleet_version;
-        ranked_.clear();
+const std::vector<vm_id>& group_observer::candidates_for(const std::string& subject) {
+    if (candidates_version_ != state_.fleet_version) {
+        candidates_version_ = state_.fleet_version;
+        candidates_.clear();
     }
-    auto [found, created] = ranked_.try_emplace(subject);
+    auto [found, created] = candidates_.try_emplace(subject);
     if (created) {
         found->second = region_delegates(subject, state_.self.place.region, state_.live,
                                          settings_.observer_candidates);
@@ -51,12 +52,12 @@
     return found->second;
 }
 
-vm_id group_observer::first_answering(time_point now, const std::vector<vm_id>& ranked) const {
+vm_id group_observer::first_responsive(time_point now, const std::vector<vm_id>& ranked) const {
     for (const auto& vm : ranked) {
         if (vm == state_.self.vm) {
             break;
         }
-        if (!silent(now, vm)) {
+        if (!is_unresponsive(now, vm)) {
             return vm;
         }
     }
@@ -64,34 +65,35 @@
 }
 
 vm_id group_observer::observer_of(time_point now, const group_id& group) {
-    return first_answering(now, ranked_for(task + ("/" + group.str())));
+    return first_responsive(now, candidates_for(task + ("/" + group.str())));
 }
 
 void group_observer::choose_roles(time_point now) {
-    std::erase_if(asked_until_, [now](const auto& each) { return each.second <= now; });
+    std::erase_if(observe_until_, [now](const auto& each) { return each.second <= now; });
     choose_reader(now);
     observed_.clear();
     for (const auto& group : state_.directory.groups()) {
-        if (always_active_ || asked_until_.contains(group) || observer_of(now, group).empty()) {
+        if (always_active_ || observe_until_.contains(group) || observer_of(now, group).empty()) {
             observed_.insert(group);
         }
     }
 }
 
-/// A VM whose own list is old goes on trying to read the registry, and asks those ranked after it.
+/// A reader whose own list is old keeps trying to read the registry, and also queries the VMs that
+/// are ranked after it.
 void group_observer::choose_reader(time_point now) {
-    std::erase_if(old_readers_, [&](const auto& each) {
-        return now - each.second > settings_.old_reader_memory;
+    std::erase_if(stale_readers_, [&](const auto& each) {
+        return now - each.second > settings_.stale_reader_backoff;
     });
     reader_ = vm_id{};
-    reads_ = false;
-    for (const auto& vm : ranked_for(task)) {
+    is_reader_ = false;
+    for (const auto& vm : candidates_for(task)) {
         if (vm == state_.self.vm) {
-            reads_ = true;
-            if (!list_older_than(now, settings_.reader_limit)) {
+            is_reader_ = true;
+            if (!list_older_than(now, settings_.reader_max_age)) {
                 return;
             }
-        } else if (!silent(now, vm) && !old_readers_.contains(vm)) {
+        } else if (!is_unresponsive(now, vm) && !stale_readers_.contains(vm)) {
             reader_ = vm;
             return;
         }
@@ -102,48 +104,49 @@
     return !state_.directory.known() || now - state_.directory.read_at() > limit;
 }
 
-bool group_observer::silent(time_point now, const vm_id& vm) const {
-    const auto found = silent_since_.find(vm);
-    return found != silent_since_.end() && now - found->second < settings_.silent_observer_memory;
+bool group_observer::is_unresponsive(time_point now, const vm_id& vm) const {
+    const auto found = unresponsive_at_.find(vm);
+    return found != unresponsive_at_.end() &&
+           now - found->second < settings_.unresponsive_vm_backoff;
 }
 
 void group_observer::read_directory(time_point now, proxy_output& out) {
-    if (directory_pending_ && now - directory_sent_ > settings_.directory_retry) {
+    if (directory_pending_ && now - directory_requested_at_ > settings_.directory_retry_interval) {
         directory_pending_ = false;
-        directory_at_ = now;
-        report_unread(now, out);
+        next_directory_read_ = now;
+        report_failed_read(now, out);
     }
-    const bool unaided = reader_.empty() && list_older_than(now, settings_.unaided_limit);
-    const bool wanted = always_active_ || reads_ || unaided || !state_.directory.known();
-    if (!wanted || directory_pending_ || now < directory_at_) {
+    const bool direct_read = reader_.empty() && list_older_than(now, settings_.direct_read_after);
+    const bool wanted = always_active_ || is_reader_ || direct_read || !state_.directory.known();
+    if (!wanted || directory_pending_ || now < next_directory_read_) {
         return;
     }
     store_request request;
-    request.id = directory_call_ = request_ids_.next();
+    request.id = directory_request_ = request_ids_.next();
     request.operation = store_operation::list_backends;
     directory_pending_ = true;
-    directory_sent_ = now;
+    directory_requested_at_ = now;
     out.common.emplace_back(std::move(request));
 }
 
 bool group_observer::on_store(time_point now, const store_answer& answer, proxy_output& out) {
-    if (!directory_pending_ || answer.id != directory_call_) {
+    if (!directory_pending_ || answer.id != directory_request_) {
         return false;
     }
     directory_pending_ = false;
     if (answer.status != store_status::ok) {
-        directory_at_ = now + settings_.directory_retry;
-        report_unread(now, out);
+        next_directory_read_ = now + settings_.directory_retry_interval;
+        report_failed_read(now, out);
         return true;
     }
-    directory_at_ = directory_sent_ + settings_.directory_interval;
-    take_list(now, directory_sent_, answer.version, answer.backends, "store", out);
+    next_directory_read_ = directory_requested_at_ + settings_.directory_read_interval;
+    apply_list(now, directory_requested_at_, answer.version, answer.backends, "store", out);
     return true;
 }
 
-void group_observer::take_list(time_point now, time_point read_at, std::uint64_t version,
-                               const std::vector<backend_registration>& list,
-                               const std::string& source, proxy_output& out) {
+void group_observer::apply_list(time_point now, time_point read_at, std::uint64_t version,
+                                const std::vector<backend_registration>& list,
+                                const std::string& source, proxy_output& out) {
     if (!state_.directory.update(now, read_at, version, list)) {
         return;
     }
@@ -160,9 +163,9 @@
     }
 }
 
-void group_observer::report_unread(time_point now, proxy_output& out) const {
+void group_observer::report_failed_read(time_point now, proxy_output& out) const {
     log(out.common, log_part, log_level::warning,
-        "registry_unread ms=" + std::to_string(to_milliseconds(now - directory_sent_)) +
+        "registry_unread ms=" + std::to_string(to_milliseconds(now - directory_requested_at_)) +
             " age_ms=" + age_text(now, state_.directory.read_at()));
 }
 
@@ -174,8 +177,8 @@
     const auto age = now - state_.directory.read_at();
     out.common.emplace_back(measurement{metric_kind::gauge, "registry_age_ms", "", "",
                                         static_cast<double>(to_milliseconds(age))});
-    const bool old = age > settings_.directory_stale;
-    if (std::exchange(directory_old_, old) != old) {
+    const bool old = age > settings_.directory_stale_after;
+    if (std::exchange(reported_stale_, old) != old) {
         log(out.common, log_part, old ? log_level::warning : log_level::info,
             std::string{old ? "registry_old" : "registry_current"} +
                 " age_ms=" + age_text(now, state_.directory.read_at()) +
@@ -183,10 +186,10 @@
     }
 }
 
-void group_observer::watch_members(time_point now, proxy_output& out) {
+void group_observer::poll_servers(time_point now, proxy_output& out) {
     for (const auto& [backend, entry] : state_.directory.entries()) {
         if (observed_.contains(entry.registration.group)) {
-            watch_member(now, entry, controls_[backend], out);
+            poll_server(now, entry, controls_[backend], out);
         }
     }
     for (auto it = controls_.begin(); it != controls_.end();) {
@@ -195,13 +198,13 @@
             ++it;
             continue;
         }
-        drop(now, it->second, out);
+        disconnect(now, it->second, out);
         observations_.erase(it->first);
         it = controls_.erase(it);
     }
 }
 
-backend_server_id group_observer::witness(const group_id& group) const {
+backend_server_id group_observer::proving_replica(const group_id& group) const {
     const auto& leadership = state_.leaderships.at(group);
     backend_server_id chosen;
     for (const auto& member : state_.directory.members(group)) {
@@ -219,33 +222,34 @@
     return chosen;
 }
 
-duration group_observer::interval_for(time_point now, const backend_directory::entry& entry) const {
+duration group_observer::status_interval_for(time_point now,
+                                             const backend_directory::entry& entry) const {
     const auto& registration = entry.registration;
     const auto& leadership = state_.leaderships.at(registration.group);
     const bool often = !leadership.confirmed(now) || leadership.primary() == registration.backend ||
-                       witness(registration.group) == registration.backend;
+                       proving_replica(registration.group) == registration.backend;
     return often ? settings_.status_interval : settings_.slow_status_interval;
 }
 
-void group_observer::watch_member(time_point now, const backend_directory::entry& entry,
-                                  control& own, proxy_output& out) {
+void group_observer::poll_server(time_point now, const backend_directory::entry& entry,
+                                 control_connection& own, proxy_output& out) {
     if (own.connection == connection_id{}) {
         if (now >= own.retry_at) {
             open(now, entry.registration, own, out);
         }
         return;
     }
-    if (!own.sent.empty() && now - own.sent.front().at > settings_.answer_limit) {
+    if (!own.sent.empty() && now - own.sent.front().at > settings_.answer_timeout) {
         log(out.common, log_part, log_level::warning,
             "silent backend=" + entry.registration.backend.str() +
                 " ms=" + std::to_string(to_milliseconds(now - own.sent.front().at)));
-        drop(now, own, out);
+        disconnect(now, own, out);
         return;
     }
     const bool status_open =
         std::any_of(own.sent.begin(), own.sent.end(),
                     [](const sent_command& each) { return each.kind == command_kind::status; });
-    const auto interval = interval_for(now, entry);
+    const auto interval = status_interval_for(now, entry);
     own.next_status = std::min(own.next_status, now + interval);
     if (!status_open && now >= own.next_status) {
         own.next_status = now + interval;
@@ -255,8 +259,8 @@
     }
 }
 
-void group_observer::open(time_point now, const backend_registration& member, control& own,
-                          proxy_output& out) {
+void group_observer::open(time_point now, const backend_registration& member,
+                          control_connection& own, proxy_output& out) {
     if (!state_.configuration || state_.configuration->organisations.empty()) {
         return;
     }
@@ -270,7 +274,7 @@
                                           member.backend});
 }
 
-void group_observer::drop(time_point now, control& own, proxy_output& out) {
+void group_observer::disconnect(time_point now, control_connection& own, proxy_output& out) {
     if (own.connection == connection_id{}) {
         return;
     }
@@ -318,7 +322,7 @@
     const bool was_open = own.open;
     own.connection = connection_id{};
     own.open = false;
-    // A connection that was open tells by its end that the process may be gone: ask at once.
+    // The end of an open connection may mean that the process has ended: reconnect immediately.
     own.retry_at = was_open ? now : now + settings_.reconnect_delay;
     if (closed.reason == close_reason::refused) {
         own.refused_at = tried;
@@ -339,7 +343,7 @@
     const auto backend = found->second;
     auto& own = controls_[backend];
     if (own.sent.empty()) {
-        drop(now, own, out);
+        disconnect(now, own, out);
         return true;
     }
     const auto command = own.sent.front();
--- a/src/core/sessions/group_observer_queries.cpp
+++ b/src/core/sessions/group_observer_queries.cpp
@@ -7,15 +7,15 @@
 #include <iterator>
 
 /// @file
-/// @brief What VMs ask each other about backend servers and the registry.
+/// @brief Queries between VMs about backend servers and the registry.
 
 namespace jackdawvane {
 
 namespace {
 
 constexpr const char* log_part = "observer";
-/// VMs of each region that are asked for a second opinion, besides one of each other domain.
-constexpr std::size_t region_observers = 2;
+/// VMs of each region that are queried for a second opinion, besides one of each other domain.
+constexpr std::size_t second_opinions_per_region = 2;
 
 std::set<vm_id> as_set(std::vector<vm_id> vms) {
     return {std::make_move_iterator(vms.begin()), std::make_move_iterator(vms.end())};
@@ -23,10 +23,10 @@
 
 } // namespace
 
-/// A VM that does not answer in time is passed over.
+/// A VM that does not answer in time is passed over, unless it was queried for a second opinion.
 void group_observer::expire_queries(time_point now, proxy_output& out) {
     for (auto it = queries_.begin(); it != queries_.end();) {
-        if (now - it->second.at <= settings_.query_limit) {
+        if (now - it->second.at <= settings_.query_timeout) {
             ++it;
             continue;
         }
@@ -35,12 +35,12 @@
             it = queries_.erase(it);
             continue;
         }
-        if (!silent(now, vm)) {
+        if (!is_unresponsive(now, vm)) {
             log(out.common, log_part, log_level::warning,
-                "observer silent vm=" + vm.str() +
-                    " limit_ms=" + std::to_string(to_milliseconds(settings_.query_limit)));
+                "observer did not answer vm=" + vm.str() +
+                    " limit_ms=" + std::to_string(to_milliseconds(settings_.query_timeout)));
         }
-        silent_since_[vm] = now;
+        unresponsive_at_[vm] = now;
         it = queries_.erase(it);
     }
 }
@@ -68,7 +68,7 @@
     }
     for (auto& [vm, groups] : queries) {
         send_query(now, vm, std::move(groups), false, out);
-        due_ = std::min(due_, now + settings_.query_limit);
+        due_ = std::min(due_, now + settings_.query_timeout);
     }
 }
 
@@ -85,18 +85,20 @@
 
 void group_observer::ask_other_domains(time_point now, const std::vector<group_id>& groups,
                                        proxy_output& out) {
-    next_foreign_query_ = now + settings_.foreign_query_interval;
+    next_other_domain_query_ = now + settings_.other_domain_query_interval;
     const auto subject = groups.empty() ? std::string{task} : task + ("/" + groups.front().str());
-    std::set<vm_id> asked;
+    std::set<vm_id> targets;
     for (const auto& [domain, region] : state_.regions) {
         if (domain != state_.self.place.domain) {
-            asked.merge(as_set(delegates(subject, domain, state_.live, 1)));
+            targets.merge(as_set(delegates(subject, domain, state_.live, 1)));
         }
-        // The observers of a region know at once; other VMs begin to ask only now.
-        asked.merge(as_set(region_delegates(subject, region, state_.live, region_observers)));
+        // The observers of a region already have recent statuses; other VMs would first have to
+        // request them.
+        targets.merge(
+            as_set(region_delegates(subject, region, state_.live, second_opinions_per_region)));
     }
-    asked.erase(state_.self.vm);
-    for (const auto& vm : asked) {
+    targets.erase(state_.self.vm);
+    for (const auto& vm : targets) {
         send_query(now, vm, groups, true, out);
     }
 }
@@ -110,14 +112,14 @@
     observation_reply reply;
     reply.number = query.number;
     for (const auto& group : query.groups) {
-        asked_until_[group] = now + settings_.asked_memory;
+        observe_until_[group] = now + settings_.observe_after_query;
         due_ = observed_.contains(group) ? due_ : now;
         for (const auto& backend : state_.directory.members(group)) {
             const auto own = observations_.find(backend);
             if (own != observations_.end() &&
-                now - own->second.asked < settings_.silent_observer_memory) {
+                now - own->second.requested_at < settings_.unresponsive_vm_backoff) {
                 reply.members.push_back(
-                    {backend, group, own->second.status, now - own->second.asked});
+                    {backend, group, own->second.status, now - own->second.requested_at});
             }
         }
     }
@@ -141,75 +143,78 @@
     const auto query = std::move(found->second);
     queries_.erase(found);
     if (!query.second_opinion) {
-        judge_answer(now, from, reply, query.groups);
-        judge_reader(now, from, reply, out);
+        check_observer_answer(now, from, reply, query.groups);
+        check_reader_answer(now, from, reply, out);
     }
-    take_directory(now, query.at, from, reply, out);
-    // The primary tells the term that the replicas' statuses prove, and its position is taken only
-    // with a proof.
+    apply_directory(now, query.at, from, reply, out);
+    // The primary's status is applied before and after those of the replicas: first for its term,
+    // which the replicas' statuses prove, then for its log position, which is recorded only with a
+    // proof.
     for (const auto role : {backend_role::primary, backend_role::replica, backend_role::primary}) {
         for (const auto& each : reply.members) {
             if ((each.status ? each.status->role : backend_role::replica) == role) {
-                take_observation(now, query.at - each.age, each);
+                apply_observation(now, query.at - each.age, each);
             }
         }
     }
 }
 
-/// A VM that answers but reaches no member is passed over, too, after the time in which it can
-/// begin to observe a group.
-void group_observer::judge_answer(time_point now, const vm_id& from, const observation_reply& reply,
-                                  const std::vector<group_id>& groups) {
+/// A VM that answers without a recent status, because it reaches no backend server, is passed over,
+/// too. It first has `answer_timeout` to begin to observe the group.
+void group_observer::check_observer_answer(time_point now, const vm_id& from,
+                                           const observation_reply& reply,
+                                           const std::vector<group_id>& groups) {
     const bool fresh = std::any_of(
         reply.members.begin(), reply.members.end(),
-        [&](const member_observation& each) { return each.age < settings_.answer_limit; });
+        [&](const member_observation& each) { return each.age < settings_.answer_timeout; });
     if (groups.empty() || fresh) {
-        silent_since_.erase(from);
-        ignorant_since_.erase(from);
+        unresponsive_at_.erase(from);
+        uninformed_since_.erase(from);
         return;
     }
-    const auto since = ignorant_since_.try_emplace(from, now).first->second;
-    if (now - since > settings_.answer_limit) {
-        silent_since_[from] = now;
-        ignorant_since_.erase(from);
+    const auto since = uninformed_since_.try_emplace(from, now).first->second;
+    if (now - since > settings_.answer_timeout) {
+        unresponsive_at_[from] = now;
+        uninformed_since_.erase(from);
     }
 }
 
-/// A VM that answers but cannot read the registry is passed over as its reader.
-void group_observer::judge_reader(time_point now, const vm_id& from, const observation_reply& reply,
-                                  proxy_output& out) {
+/// A VM that answers with an old list, because it cannot read the registry, is passed over as
+/// reader.
+void group_observer::check_reader_answer(time_point now, const vm_id& from,
+                                         const observation_reply& reply, proxy_output& out) {
     if (from != reader_ ||
-        (reply.directory_read_version > 0 && reply.directory_age <= settings_.reader_limit)) {
+        (reply.directory_read_version > 0 && reply.directory_age <= settings_.reader_max_age)) {
         return;
     }
     log(out.common, log_part, log_level::warning,
         "reader_old vm=" + from.str() +
             " age_ms=" + std::to_string(to_milliseconds(reply.directory_age)) +
-            " limit_ms=" + std::to_string(to_milliseconds(settings_.reader_limit)));
-    old_readers_[from] = now;
+            " limit_ms=" + std::to_string(to_milliseconds(settings_.reader_max_age)));
+    stale_readers_[from] = now;
     next_directory_query_ = now;
     due_ = now;
 }
 
-void group_observer::take_directory(time_point now, time_point asked, const vm_id& from,
-                                    const observation_reply& reply, proxy_output& out) {
-    const auto read_at = asked - reply.directory_age;
+void group_observer::apply_directory(time_point now, time_point requested_at, const vm_id& from,
+                                     const observation_reply& reply, proxy_output& out) {
+    const auto read_at = requested_at - reply.directory_age;
     if (reply.directory.empty()) {
         state_.directory.confirm(now, read_at, reply.directory_version,
                                  reply.directory_read_version);
         return;
     }
-    take_list(now, read_at, reply.directory_read_version, reply.directory, from.str(), out);
+    apply_list(now, read_at, reply.directory_read_version, reply.directory, from.str(), out);
 }
 
-void group_observer::take_observation(time_point now, time_point asked,
-                                      const member_observation& each) {
+void group_observer::apply_observation(time_point now, time_point requested_at,
+                                       const member_observation& each) {
     auto& leadership = state_.leadership(each.group);
     if (each.status) {
-        leadership.on_status(now, asked, each.backend, *each.status);
+        leadership.on_status(now, requested_at, each.backend, *each.status);
     } else {
-        leadership.on_refused(asked, each.backend);
-        refused_elsewhere_[each.backend] = asked;
+        leadership.on_refused(requested_at, each.backend);
+        refused_elsewhere_[each.backend] = requested_at;
     }
 }
 
--- a/tests/core/group_observer_test.cpp
+++ b/tests/core/group_observer_test.cpp
@@ -32,7 +32,7 @@
     return group_id{"g" + two_digits(index)};
 }
 
-/// One region of VMs that know each other and the members of all groups.
+/// Live VMs of one region.
 std::vector<vm_entry> region() {
     std::vector<vm_entry> live;
     for (std::size_t i = 0; i < vm_count; ++i) {
@@ -58,7 +58,7 @@
     return all;
 }
 
-/// The observer part of one VM.
+/// One VM with only its observer.
 struct observing_vm {
     explicit observing_vm(std::size_t index) : observer{state, {}, connections, requests} {
         state.live = region();
@@ -104,8 +104,8 @@
     group_observer observer;
 };
 
-/// Guards against an observation whose connections or statuses grow with the fleet, and against
-/// one VM that observes everything.
+/// Guards against connections and status requests whose number grows with the fleet, and against
+/// one VM that observes all groups.
 TEST(GroupObserver, EachGroupHasOneObserverInARegion) {
     std::size_t connections = 0;
     std::size_t most = 0;
@@ -119,15 +119,16 @@
     EXPECT_LE(most, 4U * 3U);
 }
 
-/// Guards against questions without need: a VM with few callers would ask more than it serves.
+/// Guards against unnecessary queries: a VM with few callers would send more queries than it
+/// serves statements.
 TEST(GroupObserver, AsksOnlyAboutGroupsThatStatementsWaitFor) {
     observing_vm vm{7};
-    std::size_t questions = 0;
+    std::size_t query_count = 0;
     for (int ms = 0; ms < 10'000; ms += 25) {
         for (const auto& sent : observing_vm::queries(vm.tick(at(ms)))) {
             const auto& query = std::get<observation_query>(sent.message);
             EXPECT_TRUE(query.groups.empty());
-            ++questions;
+            ++query_count;
             proxy_output out;
             observation_reply reply;
             reply.number = query.number;
@@ -136,7 +137,7 @@
             vm.observer.on_answer(at(ms), sent.vm, reply, out);
         }
     }
-    EXPECT_LE(questions, 12U);
+    EXPECT_LE(query_count, 12U);
     vm.state.awaited = {group_at(3), group_at(4)};
     std::set<group_id> asked;
     for (const auto& sent : observing_vm::queries(vm.tick(at(10'000)))) {
@@ -145,11 +146,12 @@
     }
     EXPECT_EQ(asked, (std::set<group_id>{group_at(3), group_at(4)}));
     vm.state.awaited = {group_at(3)};
-    EXPECT_TRUE(observing_vm::queries(vm.tick(at(10'010))).empty()) << "asked again at once";
+    EXPECT_TRUE(observing_vm::queries(vm.tick(at(10'010))).empty())
+        << "queried again before query_interval had passed";
 }
 
-/// Guards against VMs that all begin to observe a group, because the one that they ask does not
-/// see itself as its observer.
+/// Guards against a group that all VMs begin to observe, because the VM that they query does not
+/// regard itself as its observer.
 TEST(GroupObserver, VmThatIsAskedBeginsToObserve) {
     observing_vm vm{7};
     const auto other = vm.state.live[8].vm;
@@ -164,8 +166,8 @@
     EXPECT_GE(closed, own == 0 ? 3 : 0);
 }
 
-/// Guards against a first answer that does not allow a read: the position of the primary counts
-/// only with a proof, and the answer may name the primary first.
+/// Guards against a first answer that does not yet allow a read: the log position of the primary is
+/// recorded only with a proof, and the answer may list the primary before the replicas.
 TEST(GroupObserver, OneAnswerProvesThePrimaryAndItsPosition) {
     observing_vm vm{7};
     vm.state.awaited = {group_at(3)};
@@ -185,7 +187,7 @@
     EXPECT_TRUE(vm.state.leadership(g).point_since(at(100)));
 }
 
-/// Guards against a VM that goes on asking an observer which does not answer.
+/// Guards against a VM that keeps querying an observer that does not answer.
 TEST(GroupObserver, SilentObserverIsPassedOver) {
     observing_vm vm{7};
     std::set<vm_id> asked;
@@ -200,7 +202,7 @@
     EXPECT_GE(asked.size(), 3U);
 }
 
-/// VMs of one region and the store; messages and answers take no time.
+/// VMs of one region and the store, with instant delivery of messages and answers.
 class observing_fleet {
   public:
     observing_fleet() {
@@ -209,29 +211,29 @@
         }
     }
 
-    /// The first @a count VMs that would read the registry get no answer from the store.
-    void turn_readers_away(std::size_t count) {
+    /// Makes the store unavailable for the first @a count VMs that are ranked as reader.
+    void set_store_unavailable_for_readers(std::size_t count) {
         const auto& state = vms_.front()->state;
         const auto readers =
             region_delegates(group_observer::task, region_id{"r"}, state.live, count);
-        turned_away_ = {readers.begin(), readers.end()};
+        store_unavailable_for_ = {readers.begin(), readers.end()};
     }
     void set_leaving(std::size_t server) { list_[server].leaving = true; }
     void run(int from_ms, int until_ms) {
         for (int ms = from_ms; ms < until_ms; ms += 25) {
-            ++version_; // Heartbeats of the servers.
+            ++version_; // As by the heartbeats of the servers.
             for (auto& vm : vms_) {
                 carry_out(at(ms), *vm, vm->tick(at(ms)));
             }
         }
     }
-    /// VMs that do not know that @a server leaves.
+    /// Number of VMs that do not know that @a server is leaving.
     [[nodiscard]] std::size_t unaware(std::size_t server) const {
         return static_cast<std::size_t>(std::count_if(vms_.begin(), vms_.end(), [&](auto& vm) {
             return !vm->state.directory.find(list_[server].backend)->registration.leaving;
         }));
     }
-    [[nodiscard]] std::size_t readings() const { return readings_; }
+    [[nodiscard]] std::size_t registry_reads() const { return registry_reads_; }
 
   private:
     void carry_out(time_point now, observing_vm& from, const proxy_output& out) {
@@ -244,9 +246,9 @@
         }
     }
     void answer(time_point now, observing_vm& from, const store_request& call) {
-        ++readings_;
+        ++registry_reads_;
         store_answer found{call.id, store_status::unavailable, {}, 0, {}};
-        if (!turned_away_.contains(from.state.self.vm)) {
+        if (!store_unavailable_for_.contains(from.state.self.vm)) {
             found.status = store_status::ok;
             found.version = version_;
             found.backends = list_;
@@ -269,28 +271,29 @@
 
     std::vector<std::unique_ptr<observing_vm>> vms_;
     std::vector<backend_registration> list_{registry()};
-    std::set<vm_id> turned_away_;
+    std::set<vm_id> store_unavailable_for_;
     std::uint64_t version_{1};
-    std::size_t readings_{0};
+    std::size_t registry_reads_{0};
 };
 
 class RegistryReadersTurnedAway : public ::testing::TestWithParam<std::size_t> {};
 
-/// Guards against lists without a bound on their age: the store turned the VM away that its region
-/// asks for the registry, and nobody learned that a server leaves.
+/// Guards against lists of unbounded age: when the store rejected the requests of a region's
+/// reader, no VM of the region learned that a server was leaving.
 TEST_P(RegistryReadersTurnedAway, AllVmsLearnThatAServerLeaves) {
-    // Servers serve on for 7 s; a statement may wait for 1 s at the VM that owns the connections.
+    // A leaving server serves for another 7 s; a statement may wait for 1 s at the VM that owns the
+    // connections.
     constexpr int bound_ms = 6'000;
     observing_fleet fleet;
     fleet.run(0, 3'000);
-    fleet.turn_readers_away(GetParam());
+    fleet.set_store_unavailable_for_readers(GetParam());
     fleet.set_leaving(7);
     fleet.run(3'000, 3'000 + bound_ms);
     EXPECT_EQ(fleet.unaware(7), 0U);
-    const auto before = fleet.readings();
+    const auto before = fleet.registry_reads();
     fleet.run(9'000, 19'000);
-    // Each VM that is turned away may try all the time; of the others, few do.
-    EXPECT_LE(fleet.readings() - before, 12 * (GetParam() + 4));
+    // Each VM for which the store is unavailable may retry all the time; few of the others read.
+    EXPECT_LE(fleet.registry_reads() - before, 12 * (GetParam() + 4));
 }
 
 INSTANTIATE_TEST_SUITE_P(GroupObserver, RegistryReadersTurnedAway,
