--- a/include/jackdawvane/sessions/member_owner.hpp
+++ b/include/jackdawvane/sessions/member_owner.hpp
@@ -8,14 +8,15 @@
 
 namespace jackdawvane {
 
-/// @brief Limits of the queues before backend servers.
+/// @brief Limits of the queues for backend servers.
 struct owner_settings {
-    /// Statements of one organisation that wait for one backend server.
+    /// Largest number of statements of one organisation that wait for one backend server.
     std::size_t queue_limit{64};
-    /// A statement that waits longer is given back, so that its entry tries another server.
-    duration queue_time{std::chrono::milliseconds{250}};
-    /// A lease without a statement for longer belongs to an entry that has gone.
-    duration lease_limit{std::chrono::seconds{8}};
+    /// A statement that waits longer is returned as not run, so that its entry VM retries it on
+    /// another server.
+    duration queue_timeout{std::chrono::milliseconds{250}};
+    /// A lease without a statement for longer than this expires; its entry VM is considered gone.
+    duration lease_timeout{std::chrono::seconds{8}};
 };
 
 /// @brief Result for the entry VM that sent a statement.
@@ -24,11 +25,12 @@
     attempt_result result;
 };
 
-/// @brief Serves the statements of all entry VMs on the connections that this VM owns.
+/// @brief Runs the statements of all entry VMs on the connections that this VM owns.
 ///
-/// The load that this answers: more statements than slots, and one organisation that sends many
-/// times its usual. Organisations are served in turn, by their weights; a full queue refuses at
-/// once, and what has not started within the queue time is given back as not run.
+/// Designed for overload: more statements than slots, and one organisation that sends many times
+/// its usual rate. Organisations are served in turn, by their weights. A full queue refuses
+/// statements at once, and a statement that has not started within the queue timeout is returned
+/// as not run.
 class member_owner {
   public:
     member_owner(fleet_state& state, backend_sessions& backends, owner_settings settings);
@@ -36,12 +38,13 @@
     void submit(time_point now, const vm_id& entry, member_statement statement, proxy_output& out);
     void release(time_point now, const vm_id& entry, const lease_release& release,
                  proxy_output& out);
-    /// @brief This VM was paused. What arrives now may have waited all the time; its entries have
-    /// given it up or tried it elsewhere.
+    /// @brief Refuses statements for a short time after a pause of this VM. Those that arrive now
+    /// may have been in the network buffers during the pause, and their entry VMs have given them
+    /// up or retried them elsewhere.
     void paused(time_point now);
-    /// @brief Releases all leases of a VM that is gone.
+    /// @brief Releases all leases of a VM that is gone and closes their connections.
     void forget(const vm_id& entry, proxy_output& out);
-    /// @brief Takes the results of the connections and starts what waits.
+    /// @brief Collects the results of the connections and starts queued statements.
     void settle(time_point now, proxy_output& out);
     void tick(time_point now, proxy_output& out);
 
@@ -61,7 +64,7 @@
     struct queued {
         vm_id entry;
         member_statement statement;
-        time_point deadline{no_deadline}; ///< The entry gives it up then.
+        time_point deadline{no_deadline}; ///< The entry VM gives up the statement at this time.
     };
     struct running {
         lease_key key;
@@ -72,7 +75,7 @@
     void drain(time_point now, const backend_server_id& backend, fair_queue<queued>& queue,
                proxy_output& out);
     void expire(time_point now, fair_queue<queued>& queue);
-    void give_back(const queued& entry, statement_error problem);
+    void report_not_run(const queued& entry, statement_error problem);
 
     fleet_state& state_;
     backend_sessions& backends_;
@@ -83,7 +86,7 @@
     std::map<lease_key, lease> leases_;
     std::map<attempt_id, running> running_;
     std::vector<owner_result> results_;
-    time_point backlog_until_{}; ///< Statements that arrive before may have waited in a pause.
+    time_point backlog_until_{}; ///< Earlier arrivals may have waited during a pause.
 };
 
 } // namespace jackdawvane
--- a/src/core/sessions/backend_session_acquire.cpp
+++ b/src/core/sessions/backend_session_acquire.cpp
@@ -3,67 +3,69 @@
 #include <algorithm>
 
 /// @file
-/// @brief Which connection a statement gets, and how many there may be.
+/// @brief Choice of the connection for a statement, and limits on the number of connections.
 ///
-/// The load that this answers: a server that accepts few connections, used by many organisations
-/// that each need connections of their own.
+/// Designed for a server that accepts few connections and is used by many organisations, each of
+/// which needs connections of its own.
 
 namespace jackdawvane {
 
-std::uint32_t backend_sessions::connection_part(const backend_registration& backend,
-                                                double part) const {
+std::uint32_t backend_sessions::max_connections(const backend_registration& backend,
+                                                double fraction) const {
     const auto* row = state_.find_group(backend.group);
     const auto limit = row == nullptr ? 0.0 : static_cast<double>(row->connection_limit);
-    return std::max(1U, static_cast<std::uint32_t>(limit * part));
+    return std::max(1U, static_cast<std::uint32_t>(limit * fraction));
 }
 
-/// Connections that may be open now. After a refusal it is what the server has accepted: more
-/// tries would each take a slot's time and send a statement back.
+/// Connections that may be open now. After a refusal the limit is the number that the server had
+/// accepted: each further attempt would occupy a slot and return a statement to its entry VM.
 std::uint32_t backend_sessions::open_limit(time_point now,
                                            const backend_registration& backend) const {
-    const auto limit = connection_part(backend, settings_.open_part);
+    const auto limit = max_connections(backend, settings_.max_open_fraction);
     const auto found = loads_.find(backend.backend);
-    const bool lowered = found != loads_.end() && now < found->second.ceiling_until;
-    return lowered ? std::min(limit, found->second.ceiling) : limit;
+    const bool lowered = found != loads_.end() && now < found->second.accepted_limit_until;
+    return lowered ? std::min(limit, found->second.accepted_limit) : limit;
 }
 
-void backend_sessions::lower_ceiling(time_point now, load& own) const {
-    const auto accepted = own.open - std::min(own.open, own.opening);
-    own.ceiling = now < own.ceiling_until ? std::min(own.ceiling, accepted) : accepted;
-    own.ceiling = std::max(1U, own.ceiling);
-    own.ceiling_until = now + settings_.ceiling_memory;
+void backend_sessions::lower_accepted_limit(time_point now, backend_load& load) const {
+    const auto accepted = load.open - std::min(load.open, load.opening);
+    load.accepted_limit =
+        now < load.accepted_limit_until ? std::min(load.accepted_limit, accepted) : accepted;
+    load.accepted_limit = std::max(1U, load.accepted_limit);
+    load.accepted_limit_until = now + settings_.accepted_limit_ttl;
 }
 
-std::uint32_t backend_sessions::window(const backend_registration& backend) const noexcept {
-    return settings_.window_per_slot * std::max(1U, backend.slots);
+std::uint32_t
+backend_sessions::concurrency_limit(const backend_registration& backend) const noexcept {
+    return settings_.concurrency_per_slot * std::max(1U, backend.slots);
 }
 
-/// Closes the idle connection that was heard longest ago when there are too many.
+/// Closes the idle connection with the oldest received message when too many are idle.
 void backend_sessions::trim_idle(const backend_registration& backend, proxy_output& out) {
     std::uint32_t idle = 0;
     connection_id oldest;
-    time_point oldest_heard = no_deadline;
-    for (const auto& [id, own] : sessions_) {
-        if (own.backend != backend.backend || own.in_use) {
+    time_point oldest_received = no_deadline;
+    for (const auto& [id, session] : sessions_) {
+        if (session.backend != backend.backend || session.in_use) {
             continue;
         }
         ++idle;
-        if (own.heard < oldest_heard) {
-            oldest_heard = own.heard;
+        if (session.last_received < oldest_received) {
+            oldest_received = session.last_received;
             oldest = id;
         }
     }
-    if (idle > connection_part(backend, settings_.idle_part)) {
+    if (idle > max_connections(backend, settings_.max_idle_fraction)) {
         discard(oldest, out);
     }
 }
 
-bool backend_sessions::avoided(time_point now, const backend_server_id& backend) const {
+bool backend_sessions::recently_failed(time_point now, const backend_server_id& backend) const {
     const auto found = loads_.find(backend);
     return found != loads_.end() && now < found->second.failed_until;
 }
 
-bool backend_sessions::has_room(time_point now, const backend_server_id& backend) const {
+bool backend_sessions::has_capacity(time_point now, const backend_server_id& backend) const {
     const auto* entry = state_.directory.find(backend);
     if (entry == nullptr) {
         return false;
@@ -72,33 +74,34 @@
     if (found == loads_.end()) {
         return true;
     }
-    const auto& own = found->second;
-    const auto limit = window(entry->registration);
-    if (now < own.busy_until || now < own.failed_until || own.running >= limit ||
-        own.opening >= limit) {
+    const auto& load = found->second;
+    const auto limit = concurrency_limit(entry->registration);
+    if (now < load.busy_until || now < load.failed_until || load.running >= limit ||
+        load.opening >= limit) {
         return false;
     }
-    if (own.open < open_limit(now, entry->registration)) {
+    if (load.open < open_limit(now, entry->registration)) {
         return true;
     }
-    // An idle connection of another organisation makes room by closing.
+    // An idle connection of another organisation can be closed to stay within the limit.
     return std::any_of(sessions_.begin(), sessions_.end(), [&](const auto& each) {
         return each.second.backend == backend && !each.second.in_use && each.second.open;
     });
 }
 
-/// Higher is better: the connection needs fewer preparations.
-std::uint64_t backend_sessions::fit(const session& own, const session_needs& needs) const {
-    std::uint64_t points = 1;
-    if (needs.values == nullptr || own.values == *needs.values) {
-        points += 2;
+/// A higher score means that fewer commands are needed to set up the session.
+std::uint64_t backend_sessions::match_score(const pooled_session& session,
+                                            const session_needs& needs) const {
+    std::uint64_t score = 1;
+    if (needs.values == nullptr || session.values == *needs.values) {
+        score += 2;
     }
     if (needs.prepared != nullptr &&
-        std::any_of(own.prepared.begin(), own.prepared.end(),
+        std::any_of(session.prepared.begin(), session.prepared.end(),
                     [&](const auto& each) { return each.second == *needs.prepared; })) {
-        points += 1;
+        score += 1;
     }
-    return points;
+    return score;
 }
 
 std::optional<connection_id> backend_sessions::acquire(time_point now,
@@ -109,51 +112,51 @@
     if (entry == nullptr) {
         return {};
     }
-    session* best = nullptr;
+    pooled_session* best = nullptr;
     connection_id best_id;
-    std::uint64_t best_fit = 0;
+    std::uint64_t best_score = 0;
     std::optional<connection_id> oldest_other;
-    time_point oldest_heard = no_deadline;
-    for (auto& [id, own] : sessions_) {
-        if (own.backend != backend || own.in_use || !own.open) {
+    time_point oldest_received = no_deadline;
+    for (auto& [id, session] : sessions_) {
+        if (session.backend != backend || session.in_use || !session.open) {
             continue;
         }
-        if (own.organisation != needs.organisation) {
-            if (own.heard < oldest_heard) {
-                oldest_heard = own.heard;
+        if (session.organisation != needs.organisation) {
+            if (session.last_received < oldest_received) {
+                oldest_received = session.last_received;
                 oldest_other = id;
             }
             continue;
         }
-        const auto points = fit(own, needs);
-        if (points > best_fit) {
-            best = &own;
+        const auto score = match_score(session, needs);
+        if (score > best_score) {
+            best = &session;
             best_id = id;
-            best_fit = points;
+            best_score = score;
         }
     }
     if (best != nullptr) {
         best->in_use = true;
         return best_id;
     }
-    auto& own_load = loads_[backend];
-    if (own_load.open >= open_limit(now, entry->registration)) {
+    auto& load = loads_[backend];
+    if (load.open >= open_limit(now, entry->registration)) {
         if (!oldest_other) {
             return {};
         }
         discard(*oldest_other, out);
     }
     const auto id = ids_.next();
-    auto& own = sessions_[id];
-    own.backend = backend;
-    own.group = entry->registration.group;
-    own.organisation = needs.organisation;
-    own.in_use = true;
-    own.opened_at = own.heard = now;
-    ++own_load.open;
-    ++own_load.opening;
+    auto& session = sessions_[id];
+    session.backend = backend;
+    session.group = entry->registration.group;
+    session.organisation = needs.organisation;
+    session.in_use = true;
+    session.opened_at = session.last_received = now;
+    ++load.open;
+    ++load.opening;
     out.sessions.emplace_back(
-        open_member{id, entry->registration.endpoint, own.group, needs.organisation, backend});
+        open_member{id, entry->registration.endpoint, session.group, needs.organisation, backend});
     count(out.common, "member_connections_opened_total");
     return id;
 }
--- a/src/core/sessions/backend_sessions.cpp
+++ b/src/core/sessions/backend_sessions.cpp
@@ -10,7 +10,7 @@
 
 constexpr const char* log_part = "connections";
 constexpr duration sweep_step = std::chrono::milliseconds{200};
-/// Most prepared statements on a connection before it is reset.
+/// A connection with more prepared statements than this is reset.
 constexpr std::size_t prepared_limit = 64;
 
 } // namespace
@@ -19,33 +19,34 @@
                                    id_sequence<connection_id>& ids)
     : state_{state}, settings_{settings}, ids_{ids} {}
 
-void backend_sessions::expect(time_point now, session& own, expected_kind kind,
-                              attempt_id attempt) {
-    own.waiting.push_back({kind, attempt, now});
-    if (kind == expected_kind::main) {
-        ++loads_[own.backend].running;
+void backend_sessions::expect_reply(time_point now, pooled_session& session, reply_kind kind,
+                                    attempt_id attempt) {
+    session.expected_replies.push_back({kind, attempt, now});
+    if (kind == reply_kind::main) {
+        ++loads_[session.backend].running;
     }
 }
 
-/// Values and prepared statements need no slot and do not fail, so they go in one piece with
-/// what follows.
-void backend_sessions::lay_values(time_point now, session& own, const session_needs& needs,
-                                  bool afresh, std::vector<backend_command>& commands) {
+/// Commands that set variables or prepare statements occupy no slot and do not fail, so they are
+/// sent together with the commands that follow.
+void backend_sessions::apply_session_state(time_point now, pooled_session& session,
+                                           const session_needs& needs, bool force_reset,
+                                           std::vector<backend_command>& commands) {
     static const std::map<std::string, std::string> no_values;
     const auto& wanted = needs.values == nullptr ? no_values : *needs.values;
-    const bool surplus = std::any_of(own.values.begin(), own.values.end(), [&](const auto& each) {
-        return !wanted.contains(each.first);
-    });
-    if (afresh || surplus || own.prepared.size() > prepared_limit) {
+    const bool surplus =
+        std::any_of(session.values.begin(), session.values.end(),
+                    [&](const auto& each) { return !wanted.contains(each.first); });
+    if (force_reset || surplus || session.prepared.size() > prepared_limit) {
         backend_command reset;
         reset.kind = command_kind::reset;
         commands.push_back(std::move(reset));
-        expect(now, own, expected_kind::preparation, {});
-        own.values.clear();
-        own.prepared.clear();
+        expect_reply(now, session, reply_kind::preparation, {});
+        session.values.clear();
+        session.prepared.clear();
     }
     for (const auto& [name, value] : wanted) {
-        auto& present = own.values[name];
+        auto& present = session.values[name];
         if (present == value && !value.empty()) {
             continue;
         }
@@ -55,72 +56,73 @@
         set.name = name;
         set.value = value;
         commands.push_back(std::move(set));
-        expect(now, own, expected_kind::preparation, {});
+        expect_reply(now, session, reply_kind::preparation, {});
     }
     if (needs.prepared == nullptr) {
         return;
     }
-    const auto known = std::any_of(own.prepared.begin(), own.prepared.end(), [&](const auto& each) {
-        return each.second == *needs.prepared;
-    });
-    if (!known) {
-        const auto name = "p" + std::to_string(own.prepared.size() + 1);
-        own.prepared[name] = *needs.prepared;
+    const auto already_prepared =
+        std::any_of(session.prepared.begin(), session.prepared.end(),
+                    [&](const auto& each) { return each.second == *needs.prepared; });
+    if (!already_prepared) {
+        const auto name = "p" + std::to_string(session.prepared.size() + 1);
+        session.prepared[name] = *needs.prepared;
         backend_command prepare;
         prepare.kind = command_kind::prepare;
         prepare.name = name;
         prepare.access = needs.prepared->access;
         prepare.shape = needs.prepared->shape;
         commands.push_back(std::move(prepare));
-        expect(now, own, expected_kind::preparation, {});
+        expect_reply(now, session, reply_kind::preparation, {});
     }
 }
 
 void backend_sessions::send(time_point now, connection_id connection, attempt_id attempt,
                             const session_needs& needs, std::optional<backend_command> begin,
                             backend_command main, proxy_output& out) {
-    auto& own = sessions_.at(connection);
-    own.deadline = needs.deadline;
+    auto& session = sessions_.at(connection);
+    session.deadline = needs.deadline;
     std::vector<backend_command> commands;
-    // A connection that has gone silent unnoticed would leave a write with an unknown outcome, so
-    // an answer to a reset has to come first.
-    const bool doubtful =
-        own.open && needs.writes && !begin && now - own.heard > settings_.trusted_for;
-    lay_values(now, own, needs, doubtful, commands);
+    // A write on a connection that was lost unnoticed would have an unknown outcome, so the server
+    // has to answer a reset first.
+    const bool needs_validation = session.open && needs.writes && !begin &&
+                                  now - session.last_received > settings_.validate_after_inactivity;
+    apply_session_state(now, session, needs, needs_validation, commands);
     if (needs.prepared != nullptr) {
         const auto found =
-            std::find_if(own.prepared.begin(), own.prepared.end(),
+            std::find_if(session.prepared.begin(), session.prepared.end(),
                          [&](const auto& each) { return each.second == *needs.prepared; });
         main.name = found->first;
     }
     if (begin) {
         commands.push_back(std::move(*begin));
-        expect(now, own, expected_kind::begin, attempt);
-        own.held_main = std::move(main);
-    } else if (doubtful) {
-        own.waiting.back() = {expected_kind::begin, attempt, now};
-        own.held_main = std::move(main);
-    } else if (!own.open && needs.writes) {
-        // Until the connection is open, a loss would not tell whether the write has run.
-        own.held_main = std::move(main);
-        own.held_attempt = attempt;
-        own.main_waits_for_open = true;
+        expect_reply(now, session, reply_kind::begin, attempt);
+        session.pending_main = std::move(main);
+    } else if (needs_validation) {
+        session.expected_replies.back() = {reply_kind::begin, attempt, now};
+        session.pending_main = std::move(main);
+    } else if (!session.open && needs.writes) {
+        // If the connection were lost while opening, it would be unknown whether the write ran.
+        session.pending_main = std::move(main);
+        session.pending_attempt = attempt;
+        session.main_waits_for_open = true;
     } else {
         commands.push_back(std::move(main));
-        expect(now, own, expected_kind::main, attempt);
+        expect_reply(now, session, reply_kind::main, attempt);
     }
     out.sessions.emplace_back(send_to_member{connection, std::move(commands)});
 }
 
-void backend_sessions::finish_running(const session& own, const expected& ended) {
-    if (ended.kind == expected_kind::main) {
-        auto& own_load = loads_[own.backend];
-        own_load.running -= std::min(own_load.running, 1U);
+void backend_sessions::finish_running(const pooled_session& session, const expected_reply& ended) {
+    if (ended.kind == reply_kind::main) {
+        auto& load = loads_[session.backend];
+        load.running -= std::min(load.running, 1U);
     }
 }
 
-bool backend_sessions::overdue(time_point now, const session& own) {
-    return own.in_use && now >= own.deadline && (!own.waiting.empty() || own.held_main);
+bool backend_sessions::overdue(time_point now, const pooled_session& session) {
+    return session.in_use && now >= session.deadline &&
+           (!session.expected_replies.empty() || session.pending_main);
 }
 
 bool backend_sessions::on_ready(time_point now, const member_ready& ready, proxy_output& out) {
@@ -128,16 +130,17 @@
     if (found == sessions_.end()) {
         return false;
     }
-    auto& own = found->second;
-    if (!std::exchange(own.open, true)) {
-        auto& own_load = loads_[own.backend];
-        own_load.opening -= std::min(own_load.opening, 1U);
+    auto& session = found->second;
+    if (!std::exchange(session.open, true)) {
+        auto& load = loads_[session.backend];
+        load.opening -= std::min(load.opening, 1U);
     }
-    own.heard = now;
-    if (std::exchange(own.main_waits_for_open, false) && own.held_main) {
-        expect(now, own, expected_kind::main, own.held_attempt);
-        out.sessions.emplace_back(send_to_member{ready.connection, {std::move(*own.held_main)}});
-        own.held_main.reset();
+    session.last_received = now;
+    if (std::exchange(session.main_waits_for_open, false) && session.pending_main) {
+        expect_reply(now, session, reply_kind::main, session.pending_attempt);
+        out.sessions.emplace_back(
+            send_to_member{ready.connection, {std::move(*session.pending_main)}});
+        session.pending_main.reset();
     }
     return true;
 }
@@ -147,85 +150,85 @@
     if (found == sessions_.end()) {
         return false;
     }
-    auto& own = found->second;
-    if (own.waiting.empty()) {
+    auto& session = found->second;
+    if (session.expected_replies.empty()) {
         log(out.common, log_part, log_level::error,
-            "answer to nothing backend=" + own.backend.str());
+            "reply without a pending command backend=" + session.backend.str());
         discard(replied.connection, out);
         return true;
     }
-    if (own.held_main && overdue(now, own)) {
+    if (session.pending_main && overdue(now, session)) {
         out.sessions.emplace_back(close_member{replied.connection});
         on_closed(now, {replied.connection, close_reason::timeout, statement_error::none}, out);
         return true;
     }
-    own.heard = now;
-    const auto ended = own.waiting.front();
-    own.waiting.pop_front();
-    finish_running(own, ended);
+    session.last_received = now;
+    const auto ended = session.expected_replies.front();
+    session.expected_replies.pop_front();
+    finish_running(session, ended);
     const bool failed = replied.reply.problem != statement_error::none;
-    if (ended.kind == expected_kind::main) {
+    if (ended.kind == reply_kind::main) {
         auto position = replied.reply.position;
         if (position) {
-            state_.leadership(own.group).on_position(ended.sent, own.backend, *position);
+            state_.leadership(session.group).on_position(ended.sent, session.backend, *position);
         }
         results_.push_back(
-            {ended.attempt, replied.connection, own.backend, replied.reply, true, true, false});
-    } else if (ended.kind == expected_kind::begin && own.held_main) {
-        auto main = std::move(*own.held_main);
-        own.held_main.reset();
+            {ended.attempt, replied.connection, session.backend, replied.reply, true, true, false});
+    } else if (ended.kind == reply_kind::begin && session.pending_main) {
+        auto main = std::move(*session.pending_main);
+        session.pending_main.reset();
         if (failed) {
-            results_.push_back({ended.attempt, replied.connection, own.backend, replied.reply, true,
-                                false, false});
+            results_.push_back({ended.attempt, replied.connection, session.backend, replied.reply,
+                                true, false, false});
         } else {
-            expect(now, own, expected_kind::main, ended.attempt);
+            expect_reply(now, session, reply_kind::main, ended.attempt);
             out.sessions.emplace_back(send_to_member{replied.connection, {std::move(main)}});
         }
     } else if (failed) {
-        // A value or rollback that failed leaves the session in an unknown state.
+        // After a failed reset, set, prepare or rollback the session state is unknown.
         log(out.common, log_part, log_level::warning,
-            "preparation failed backend=" + own.backend.str() + " text=" + replied.reply.detail);
+            "session setup or rollback failed backend=" + session.backend.str() +
+                " text=" + replied.reply.detail);
         const member_closed lost{replied.connection, close_reason::lost, statement_error::none};
-        fail_open_attempts(replied.connection, own, lost);
+        fail_open_attempts(replied.connection, session, lost);
         discard(replied.connection, out);
         return true;
     }
-    if (own.waiting.empty() && own.release_when_quiet && !own.held_main) {
+    if (session.expected_replies.empty() && session.release_when_drained && !session.pending_main) {
         become_idle(now, replied.connection, out);
     }
     return true;
 }
 
-void backend_sessions::fail_open_attempts(connection_id id, session& own,
+void backend_sessions::fail_open_attempts(connection_id id, pooled_session& session,
                                           const member_closed& closed) {
     attempt_id reported;
-    for (const auto& each : own.waiting) {
-        finish_running(own, each);
-        const bool names_attempt =
-            each.kind == expected_kind::main || each.kind == expected_kind::begin;
-        if (!names_attempt || each.attempt == reported) {
+    for (const auto& each : session.expected_replies) {
+        finish_running(session, each);
+        const bool has_attempt = each.kind == reply_kind::main || each.kind == reply_kind::begin;
+        if (!has_attempt || each.attempt == reported) {
             continue;
         }
         reported = each.attempt;
         attempt_result result;
         result.attempt = each.attempt;
         result.lease = id;
-        result.backend = own.backend;
+        result.backend = session.backend;
         result.reply.problem = closed.problem;
-        result.sent = own.open && each.kind == expected_kind::main;
-        result.unreachable = !own.open && closed.reason != close_reason::rejected;
+        result.sent = session.open && each.kind == reply_kind::main;
+        result.unreachable = !session.open && closed.reason != close_reason::rejected;
         results_.push_back(std::move(result));
     }
-    if (own.main_waits_for_open && own.held_main) {
+    if (session.main_waits_for_open && session.pending_main) {
         attempt_result result;
-        result.attempt = own.held_attempt;
+        result.attempt = session.pending_attempt;
         result.lease = id;
-        result.backend = own.backend;
+        result.backend = session.backend;
         result.reply.problem = closed.problem;
         results_.push_back(std::move(result));
     }
-    own.waiting.clear();
-    own.held_main.reset();
+    session.expected_replies.clear();
+    session.pending_main.reset();
 }
 
 bool backend_sessions::on_closed(time_point now, const member_closed& closed, proxy_output& out) {
@@ -233,22 +236,22 @@
     if (found == sessions_.end()) {
         return false;
     }
-    auto& own = found->second;
-    auto& own_load = loads_[own.backend];
+    auto& session = found->second;
+    auto& load = loads_[session.backend];
     if (closed.problem == statement_error::too_many_connections) {
-        own_load.busy_until = now + settings_.busy_pause;
-        lower_ceiling(now, own_load);
+        load.busy_until = now + settings_.busy_backoff;
+        lower_accepted_limit(now, load);
         count(out.common, "member_connections_refused_total");
-    } else if (!own.open) {
-        own_load.failed_until = now + settings_.failure_pause;
+    } else if (!session.open) {
+        load.failed_until = now + settings_.failure_backoff;
     }
-    if (!own.open || !own.waiting.empty()) {
+    if (!session.open || !session.expected_replies.empty()) {
         log(out.common, log_part, log_level::info,
-            "closed backend=" + own.backend.str() + " open=" + (own.open ? "1" : "0") +
-                " waiting=" + std::to_string(own.waiting.size()) +
+            "closed backend=" + session.backend.str() + " open=" + (session.open ? "1" : "0") +
+                " waiting=" + std::to_string(session.expected_replies.size()) +
                 " reason=" + to_string(closed.reason) + " problem=" + to_string(closed.problem));
     }
-    fail_open_attempts(closed.connection, own, closed);
+    fail_open_attempts(closed.connection, session, closed);
     erase(closed.connection);
     return true;
 }
@@ -259,30 +262,30 @@
     if (found == sessions_.end()) {
         return;
     }
-    auto& own = found->second;
-    if (own.held_main) {
-        // The transaction may open at any moment; nothing may follow it.
+    auto& session = found->second;
+    if (session.pending_main) {
+        // The transaction may still open; its statement must not be sent any more.
         discard(connection, out);
         return;
     }
     if (in_transaction) {
         backend_command rollback;
         rollback.kind = command_kind::rollback;
-        expect(now, own, expected_kind::rollback, {});
+        expect_reply(now, session, reply_kind::rollback, {});
         out.sessions.emplace_back(send_to_member{connection, {std::move(rollback)}});
     }
-    if (own.waiting.empty()) {
+    if (session.expected_replies.empty()) {
         become_idle(now, connection, out);
     } else {
-        own.release_when_quiet = true;
+        session.release_when_drained = true;
     }
 }
 
 void backend_sessions::become_idle(time_point /*now*/, connection_id id, proxy_output& out) {
-    auto& own = sessions_.at(id);
-    own.in_use = false;
-    own.release_when_quiet = false;
-    const auto* entry = state_.directory.find(own.backend);
+    auto& session = sessions_.at(id);
+    session.in_use = false;
+    session.release_when_drained = false;
+    const auto* entry = state_.directory.find(session.backend);
     if (entry == nullptr || entry->registration.leaving) {
         discard(id, out);
     } else {
@@ -295,7 +298,7 @@
     if (found == sessions_.end()) {
         return;
     }
-    for (const auto& each : found->second.waiting) {
+    for (const auto& each : found->second.expected_replies) {
         finish_running(found->second, each);
     }
     out.sessions.emplace_back(close_member{connection});
@@ -304,10 +307,10 @@
 
 void backend_sessions::erase(connection_id id) {
     const auto found = sessions_.find(id);
-    auto& own_load = loads_[found->second.backend];
-    own_load.open -= std::min(own_load.open, 1U);
+    auto& load = loads_[found->second.backend];
+    load.open -= std::min(load.open, 1U);
     if (!found->second.open) {
-        own_load.opening -= std::min(own_load.opening, 1U);
+        load.opening -= std::min(load.opening, 1U);
     }
     sessions_.erase(found);
 }
@@ -319,16 +322,18 @@
     next_sweep_ = now + sweep_step;
     std::vector<connection_id> closing;
     std::vector<connection_id> failing;
-    for (const auto& [id, own] : sessions_) {
-        const auto* entry = state_.directory.find(own.backend);
+    for (const auto& [id, session] : sessions_) {
+        const auto* entry = state_.directory.find(session.backend);
         const bool unwanted = entry == nullptr || entry->registration.leaving;
-        const bool unused = !own.in_use && (unwanted || now - own.heard > settings_.idle_limit);
-        const bool abandoned = own.release_when_quiet && !own.waiting.empty() &&
-                               now - own.waiting.front().sent > settings_.abandoned_limit;
+        const bool unused =
+            !session.in_use && (unwanted || now - session.last_received > settings_.idle_timeout);
+        const bool abandoned =
+            session.release_when_drained && !session.expected_replies.empty() &&
+            now - session.expected_replies.front().sent > settings_.abandoned_timeout;
         if (unused || abandoned) {
             closing.push_back(id);
-        } else if (overdue(now, own) ||
-                   (!own.open && now - own.opened_at > settings_.connect_limit)) {
+        } else if (overdue(now, session) ||
+                   (!session.open && now - session.opened_at > settings_.connect_timeout)) {
             failing.push_back(id);
         }
     }
@@ -347,8 +352,8 @@
 
 void backend_sessions::close_idle(const backend_server_id& backend, proxy_output& out) {
     std::vector<connection_id> idle;
-    for (const auto& [id, own] : sessions_) {
-        if (own.backend == backend && !own.in_use) {
+    for (const auto& [id, session] : sessions_) {
+        if (session.backend == backend && !session.in_use) {
             idle.push_back(id);
         }
     }
@@ -359,8 +364,8 @@
 
 void backend_sessions::leave(proxy_output& out) {
     std::vector<connection_id> idle;
-    for (const auto& [id, own] : sessions_) {
-        if (!own.in_use) {
+    for (const auto& [id, session] : sessions_) {
+        if (!session.in_use) {
             idle.push_back(id);
         }
     }
--- a/src/core/sessions/member_owner.cpp
+++ b/src/core/sessions/member_owner.cpp
@@ -17,7 +17,7 @@
     return needs;
 }
 
-/// What the network received during a pause is read within this time after it.
+/// Messages that the network received during a pause are read within this time after it.
 constexpr duration backlog_time = std::chrono::milliseconds{200};
 
 } // namespace
@@ -27,19 +27,19 @@
 
 void member_owner::submit(time_point now, const vm_id& entry, member_statement statement,
                           proxy_output& out) {
-    const auto given_up = now + statement.remaining;
+    const auto entry_deadline = now + statement.remaining;
     auto bound = leases_.find({entry, statement.lease});
     if (bound != leases_.end() && !backends_.holds(bound->second.connection)) {
-        leases_.erase(bound); // The connection was lost while no statement waited on it.
+        leases_.erase(bound); // The connection was lost while it ran no statement.
         bound = leases_.end();
     }
     if (bound != leases_.end()) {
         bound->second.used = now;
-        start(now, {entry, std::move(statement), given_up}, bound->second.connection, out);
+        start(now, {entry, std::move(statement), entry_deadline}, bound->second.connection, out);
         return;
     }
     if (statement.continues) {
-        // The connection was lost. On another one the statement would run outside its transaction.
+        // The connection was lost; on another one the statement would run outside its transaction.
         attempt_result lost;
         lost.attempt = statement.attempt;
         lost.lease = statement.lease;
@@ -51,7 +51,7 @@
         log(out.common, "owner", log_level::info,
             "not_run request=" + statement.main.id.str() + " entry=" + entry.str() +
                 " backend=" + statement.backend.str() + " reason=backlog_of_a_pause");
-        give_back({entry, std::move(statement), given_up}, statement_error::busy);
+        report_not_run({entry, std::move(statement), entry_deadline}, statement_error::busy);
         return;
     }
     const auto& backend = statement.backend;
@@ -61,11 +61,11 @@
         const auto row = state_.configuration->organisations.find(statement.organisation);
         weight = row == state_.configuration->organisations.end() ? 1 : row->second.weight;
     }
-    const auto deadline = now + std::min(statement.remaining, settings_.queue_time);
+    const auto deadline = now + std::min(statement.remaining, settings_.queue_timeout);
     const auto organisation = statement.organisation;
-    queued waiting{entry, std::move(statement), given_up};
+    queued waiting{entry, std::move(statement), entry_deadline};
     if (!queue.push(queue_ids_.next(), organisation, weight, 1, deadline, waiting)) {
-        give_back(waiting, statement_error::busy);
+        report_not_run(waiting, statement_error::busy);
         return;
     }
     drain(now, waiting.statement.backend, queue, out);
@@ -74,13 +74,13 @@
 void member_owner::drain(time_point now, const backend_server_id& backend,
                          fair_queue<queued>& queue, proxy_output& out) {
     expire(now, queue);
-    if (backends_.avoided(now, backend)) {
+    if (backends_.recently_failed(now, backend)) {
         while (auto next = queue.pop(now)) {
-            give_back(next->item, statement_error::none);
+            report_not_run(next->item, statement_error::none);
         }
         return;
     }
-    while (!queue.empty() && backends_.has_room(now, backend)) {
+    while (!queue.empty() && backends_.has_capacity(now, backend)) {
         auto next = queue.pop(now);
         if (!next) {
             return;
@@ -88,7 +88,7 @@
         const auto connection =
             backends_.acquire(now, backend, needs_of(next->item.statement), out);
         if (!connection) {
-            give_back(next->item, statement_error::busy);
+            report_not_run(next->item, statement_error::busy);
             continue;
         }
         leases_[{next->item.entry, next->item.statement.lease}] = {*connection, backend, now};
@@ -108,11 +108,11 @@
 
 void member_owner::expire(time_point now, fair_queue<queued>& queue) {
     for (const auto& each : queue.expire(now)) {
-        give_back(each.item, statement_error::busy);
+        report_not_run(each.item, statement_error::busy);
     }
 }
 
-void member_owner::give_back(const queued& entry, statement_error problem) {
+void member_owner::report_not_run(const queued& entry, statement_error problem) {
     attempt_result result;
     result.attempt = entry.statement.attempt;
     result.lease = entry.statement.lease;
@@ -159,14 +159,14 @@
         if (found == running_.end()) {
             continue;
         }
-        const auto own = found->second;
+        const auto started = found->second;
         running_.erase(found);
         if (!result.answered) {
-            leases_.erase(own.key);
+            leases_.erase(started.key);
         }
-        result.attempt = own.attempt;
-        result.lease = own.key.lease;
-        results_.push_back({own.key.entry, std::move(result)});
+        result.attempt = started.attempt;
+        result.lease = started.key.lease;
+        results_.push_back({started.key.entry, std::move(result)});
     }
     for (auto& [backend, queue] : queues_) {
         if (!queue.empty()) {
@@ -177,7 +177,7 @@
 
 void member_owner::tick(time_point now, proxy_output& out) {
     for (auto it = leases_.begin(); it != leases_.end();) {
-        if (now - it->second.used > settings_.lease_limit) {
+        if (now - it->second.used > settings_.lease_timeout) {
             log(out.common, "owner", log_level::warning,
                 "lease expired entry=" + it->first.entry.str() +
                     " backend=" + it->second.backend.str());
--- a/tests/core/backend_sessions_test.cpp
+++ b/tests/core/backend_sessions_test.cpp
@@ -19,12 +19,12 @@
 
 struct restart_case {
     const char* name;
-    std::size_t accepted;      ///< Connections that the server still accepts.
-    std::size_t organisations; ///< Of the callers that come back, in turn.
+    std::size_t accepted;      ///< Connections that the server accepts at most.
+    std::size_t organisations; ///< Organisations whose callers reconnect, in turn.
 };
 
-/// A server of 5 slots and 72 connections, of which most still count for an owner that has lost
-/// power, and callers that come back all at once.
+/// A server with 5 slots and a limit of 72 connections, many of which it still counts for an owner
+/// that has lost power, and callers that all reconnect at once.
 class OwnerAfterPowerLoss : public ::testing::TestWithParam<restart_case> {
   protected:
     static constexpr std::int64_t handshake_ms = 12;
@@ -41,10 +41,10 @@
         state.follow_directory();
     }
 
-    /// One millisecond of the owner and the server.
+    /// Simulates one millisecond of the owner and the server.
     void step(std::int64_t now) {
         proxy_output out;
-        while (backends.has_room(at(now), server)) {
+        while (backends.has_capacity(at(now), server)) {
             session_needs needs;
             needs.organisation = organisation_id{"o" + std::to_string(next_++ % organisations)};
             const auto connection = backends.acquire(at(now), server, needs, out);
@@ -53,19 +53,19 @@
             }
             backends.send(at(now), *connection, attempt_id{++attempts_}, needs, {}, {}, out);
         }
-        carry_out(now, out);
-        finish(now);
+        apply_actions(now, out);
+        run_server(now);
         for (const auto& result : backends.take_results()) {
             served += result.sent ? 1 : 0;
             proxy_output released;
             if (backends.holds(result.lease)) {
                 backends.release(at(now), result.lease, false, released);
             }
-            carry_out(now, released);
+            apply_actions(now, released);
         }
     }
 
-    void carry_out(std::int64_t now, const proxy_output& out) {
+    void apply_actions(std::int64_t now, const proxy_output& out) {
         for (const auto& each : out.sessions) {
             if (const auto* opened = std::get_if<open_member>(&each)) {
                 const bool room = connections_.size() < accepted;
@@ -84,8 +84,8 @@
         }
     }
 
-    /// The server runs as many statements at once as it has slots.
-    void finish(std::int64_t now) {
+    /// Completes statements at the rate of a server that runs one statement in each slot.
+    void run_server(std::int64_t now) {
         proxy_output out;
         for (auto& each : std::exchange(events_, {})) {
             if (each.due > now) {
@@ -106,7 +106,7 @@
                 backends.on_reply(at(now), {connection, {}, {}}, out);
             }
         }
-        carry_out(now, out);
+        apply_actions(now, out);
     }
 
     struct event {
@@ -132,19 +132,21 @@
     std::vector<event> events_;
 };
 
-/// Guards against an owner that opens connections over and over which the server refuses: each try
-/// takes a slot's time and sends a caller's statement back.
+/// Guards against an owner that repeatedly opens connections which the server refuses: each attempt
+/// occupies a slot and causes a caller's statement to be returned.
 TEST_P(OwnerAfterPowerLoss, UsesTheConnectionsThatTheServerAccepts) {
     accepted = GetParam().accepted;
     organisations = GetParam().organisations;
-    constexpr std::int64_t length_ms = 3'000; // The server counts those of a dark end this long.
+    // The server still counts the connections of a VM that has lost power for this long.
+    constexpr std::int64_t length_ms = 3'000;
     for (std::int64_t now = 1; now <= length_ms; ++now) {
         step(now);
     }
-    EXPECT_LE(refused, 3 * 2 * slots) << "once a second, as many as may be opened at once";
-    // A new connection takes 12 ms of a slot besides the statement.
-    const auto most = static_cast<std::size_t>(length_ms) * slots / statement_ms;
-    EXPECT_GE(served, most / 3);
+    EXPECT_LE(refused, 3 * 2 * slots)
+        << "at most one burst of concurrent connection attempts per second";
+    // A new connection occupies a slot for 12 ms in addition to the statement.
+    const auto max_served = static_cast<std::size_t>(length_ms) * slots / statement_ms;
+    EXPECT_GE(served, max_served / 3);
 }
 
 INSTANTIATE_TEST_SUITE_P(BackendSessions, OwnerAfterPowerLoss,
--- a/tests/core/member_owner_test.cpp
+++ b/tests/core/member_owner_test.cpp
@@ -28,8 +28,9 @@
     EXPECT_FALSE(results.front().result.sent);
 }
 
-// Guards against a statement that runs when its VM wakes, seconds after its entry has tried it
-// elsewhere: the first statement of a transaction then ran on two connections (soak seed 1).
+// Guards against a statement that runs when its owner VM resumes after a pause, seconds after its
+// entry VM has retried it elsewhere: the first statement of a transaction then ran on two
+// connections (soak seed 1).
 TEST(MemberOwner, GivesBackAsNotRunWhatArrivedDuringAPause) {
     session_fixture fixture;
     member_statement statement;
@@ -47,8 +48,8 @@
     EXPECT_FALSE(fixture.take<open_member>().empty());
 }
 
-/// Guards against a statement that a cut has held up and that runs when the cut ends, seconds after
-/// its entry has tried it elsewhere.
+// Guards against a statement that is delayed by a network partition and runs when the partition
+// ends, seconds after its entry VM has retried it elsewhere.
 TEST(MemberOwner, EndsConnectionsWhoseStatementIsGivenUp) {
     session_fixture fixture;
     member_statement statement;
@@ -79,8 +80,8 @@
                              [](const auto& each) { return each.result.answered; }));
 }
 
-// Guards against the rest of a lost transaction that is reported as refused: its session would stay
-// in the transaction.
+// Guards against a lost transaction whose next statement is reported as refused: its session would
+// stay in the transaction.
 TEST(MemberOwner, TellsTheLossOfATransactionDuringAPause) {
     session_fixture fixture;
     member_statement statement;
@@ -93,7 +94,8 @@
     EXPECT_FALSE(results.front().result.answered);
 }
 
-// Load: one organisation sends many statements at once; the other's first one is not behind them.
+// Guards against starvation: one organisation sends many statements at once, and the first
+// statement of another one must not wait behind all of them.
 TEST(MemberOwner, ServesOrganisationsInTurn) {
     session_fixture fixture;
     const auto submit = [&](const char* organisation, std::uint64_t number) {
@@ -112,7 +114,7 @@
     submit("quiet", 50);
     fixture.accept(2);
     const auto running = fixture.commands();
-    ASSERT_EQ(running.size(), 4U); // The window: two statements for each slot.
+    ASSERT_EQ(running.size(), 4U); // Concurrency limit: two statements per slot.
     fixture.reply(3, running.front().first, success(transaction_state::idle, point(1, 10)));
     fixture.owner.release(at(3), vm_id{"b"}, {connection_id{1000}, {}, false, false}, fixture.out);
     fixture.reply(4, running[1].first, success(transaction_state::idle, point(1, 10)));
