--- a/src/core/sessions/member_gateway.cpp
+++ b/src/core/sessions/member_gateway.cpp
@@ -17,40 +17,39 @@
     if (entry == nullptr) {
         return {};
     }
-    std::erase_if(unreachable_, [&](const auto& each) {
-        return now - each.second > settings_.unreachable_memory;
-    });
-    const bool all_reach =
+    std::erase_if(unreachable_,
+                  [&](const auto& each) { return now - each.second > settings_.unreachable_ttl; });
+    const bool reachable_by_all =
         std::none_of(unreachable_.begin(), unreachable_.end(),
                      [&](const auto& each) { return each.first.second == backend; });
-    if (all_reach) {
-        return usual_owner(backend, *entry);
+    if (reachable_by_all) {
+        return default_owner(backend, *entry);
     }
     std::vector<vm_entry> candidates;
     std::copy_if(state_.live.begin(), state_.live.end(), std::back_inserter(candidates),
                  [&](const vm_entry& vm) {
                      return !unreachable_.contains({vm.vm, backend});
                  });
-    return owner_of(backend, place_of(*entry), candidates);
+    return owner_of(backend, location_of(*entry), candidates);
 }
 
-location member_gateway::place_of(const backend_directory::entry& backend) const {
+location member_gateway::location_of(const backend_directory::entry& backend) const {
     return {state_.region_of(backend.registration.domain), backend.registration.domain};
 }
 
-/// The owner as it follows from the fleet alone, looked up once for each version of the fleet.
-std::optional<vm_id> member_gateway::usual_owner(const backend_server_id& backend,
-                                                 const backend_directory::entry& entry) const {
+/// Owner by rendezvous hashing over all live VMs, cached for each version of the fleet.
+std::optional<vm_id> member_gateway::default_owner(const backend_server_id& backend,
+                                                   const backend_directory::entry& entry) const {
     if (owners_version_ != state_.fleet_version) {
         owners_version_ = state_.fleet_version;
         owners_.clear();
     }
-    const auto place = place_of(entry);
-    auto& known = owners_[backend];
-    if (!known.owner || known.place != place) {
-        known = {place, owner_of(backend, place, state_.live)};
+    const auto place = location_of(entry);
+    auto& cached = owners_[backend];
+    if (!cached.owner || cached.place != place) {
+        cached = {place, owner_of(backend, place, state_.live)};
     }
-    return known.owner;
+    return cached.owner;
 }
 
 bool member_gateway::owns(const backend_server_id& backend) const {
@@ -58,7 +57,7 @@
     if (entry == nullptr) {
         return false;
     }
-    return usual_owner(backend, *entry) == state_.self.vm;
+    return default_owner(backend, *entry) == state_.self.vm;
 }
 
 bool member_gateway::open(time_point now, const backend_server_id& backend) const {
@@ -82,7 +81,7 @@
     ++loads_[statement.backend].running;
     const auto found = leases_.find(statement.lease);
     if (found == leases_.end()) {
-        // The VM that held the connection is gone, and with it the transaction.
+        // The VM that owned the connection is gone, so the transaction is lost.
         attempt_result lost;
         lost.attempt = statement.attempt;
         lost.lease = statement.lease;
@@ -90,17 +89,17 @@
         on_result(now, lost);
         return;
     }
-    const auto& own = found->second;
-    if (own.owner == state_.self.vm) {
+    const auto& held = found->second;
+    if (held.owner == state_.self.vm) {
         owner_.submit(now, state_.self.vm, std::move(statement), out);
         return;
     }
-    const auto* vm = state_.find_vm(own.owner);
+    const auto* vm = state_.find_vm(held.owner);
     if (vm == nullptr) {
         attempt_result lost;
         lost.attempt = statement.attempt;
         lost.lease = statement.lease;
-        lost.backend = own.backend;
+        lost.backend = held.backend;
         lost.unreachable = true;
         on_result(now, lost);
         return;
@@ -109,8 +108,8 @@
         send_to_peer{vm->vm, vm->peer, peer_channel::stream, std::move(statement)});
 }
 
-void member_gateway::give_back(time_point now, const lease_release& release, const vm_id& owner,
-                               proxy_output& out) {
+void member_gateway::send_release(time_point now, const lease_release& release, const vm_id& owner,
+                                  proxy_output& out) {
     if (owner == state_.self.vm) {
         owner_.release(now, owner, release, out);
     } else if (const auto* vm = state_.find_vm(owner)) {
@@ -122,18 +121,18 @@
                              proxy_output& out) {
     const auto found = leases_.find(lease);
     if (found != leases_.end()) {
-        const auto own = found->second;
+        const auto held = found->second;
         leases_.erase(found);
-        give_back(now, {lease, own.backend, in_transaction, false}, own.owner, out);
+        send_release(now, {lease, held.backend, in_transaction, false}, held.owner, out);
     }
 }
 
 void member_gateway::discard(time_point now, connection_id lease, proxy_output& out) {
     const auto found = leases_.find(lease);
     if (found != leases_.end()) {
-        const auto own = found->second;
+        const auto held = found->second;
         leases_.erase(found);
-        give_back(now, {lease, own.backend, false, true}, own.owner, out);
+        send_release(now, {lease, held.backend, false, true}, held.owner, out);
     }
 }
 
@@ -142,14 +141,14 @@
     if (found == attempts_.end()) {
         return;
     }
-    auto& own = loads_[result.backend];
-    own.running -= std::min(own.running, 1U);
+    auto& load = loads_[result.backend];
+    load.running -= std::min(load.running, 1U);
     if (measure) {
-        const auto taken = now - found->second.sent;
+        const auto elapsed = now - found->second.sent;
         const bool first =
-            own.measured == time_point::min() || now - own.measured > settings_.latency_memory;
-        own.mean = first ? taken : own.mean + (taken - own.mean) / settings_.latency_divisor;
-        own.measured = now;
+            load.measured == time_point::min() || now - load.measured > settings_.latency_ttl;
+        load.mean = first ? elapsed : load.mean + (elapsed - load.mean) / settings_.latency_divisor;
+        load.measured = now;
     }
     attempts_.erase(found);
 }
@@ -159,7 +158,7 @@
     if (sent == attempts_.end()) {
         return;
     }
-    const auto asked = sent->second.sent;
+    const auto sent_at = sent->second.sent;
     const auto lease = leases_.find(result.lease);
     if (result.unreachable && lease != leases_.end()) {
         unreachable_[{lease->second.owner, result.backend}] = now;
@@ -168,13 +167,13 @@
     if (refused || result.reply.problem == statement_error::busy ||
         result.reply.problem == statement_error::too_many_connections) {
         if (result.reply.problem != statement_error::lagging) {
-            loads_[result.backend].busy_until = now + settings_.busy_pause;
+            loads_[result.backend].busy_until = now + settings_.busy_backoff;
         }
     }
     if (result.answered && result.reply.position) {
         if (const auto* entry = state_.directory.find(result.backend)) {
             state_.leadership(entry->registration.group)
-                .on_position(asked, result.backend, *result.reply.position);
+                .on_position(sent_at, result.backend, *result.reply.position);
         }
     }
     end_attempt(now, result, result.answered && result.sent);
@@ -186,12 +185,12 @@
 
 void member_gateway::on_vm_lost(const vm_id& vm) {
     std::vector<attempt_result> lost;
-    for (const auto& [attempt, own] : attempts_) {
-        const auto found = leases_.find(own.lease);
+    for (const auto& [attempt, sent] : attempts_) {
+        const auto found = leases_.find(sent.lease);
         if (found != leases_.end() && found->second.owner == vm) {
             attempt_result result;
             result.attempt = attempt;
-            result.lease = own.lease;
+            result.lease = sent.lease;
             result.backend = found->second.backend;
             result.sent = true;
             lost.push_back(std::move(result));
@@ -218,7 +217,7 @@
                                                 const backend_server_id& backend) const {
     const auto found = loads_.find(backend);
     if (found == loads_.end() || found->second.measured == time_point::min() ||
-        now - found->second.measured > settings_.latency_memory) {
+        now - found->second.measured > settings_.latency_ttl) {
         return {};
     }
     return found->second.mean;
