--- a/include/jackdawvane/sessions/messages.hpp
+++ b/include/jackdawvane/sessions/messages.hpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 /// @file
-/// @brief What callers, the proxy and backend servers say to each other in SQL sessions.
+/// @brief Messages between callers, the proxy and backend servers in SQL sessions.
 
 namespace jackdawvane {
 
@@ -23,10 +23,10 @@
 using session_id = basic_number<struct session_id_tag>;
 /// @brief Id that a caller gives to a statement; the proxy's own statements have none.
 using statement_id = basic_id<struct statement_id_tag>;
-/// @brief Number of one try of a statement on a connection to a backend server.
+/// @brief Number of one attempt to run a statement on a connection to a backend server.
 using attempt_id = basic_number<struct attempt_id_tag>;
 
-/// @brief Place in the log of a group.
+/// @brief Position in the replication log of a group.
 struct log_point {
     jackdawvane::term term;
     log_position position;
@@ -37,7 +37,7 @@
     friend auto operator<=>(const log_point&, const log_point&) = default;
 };
 
-/// @brief What a statement asks for.
+/// @brief Type of a statement.
 enum class statement_kind {
     begin,
     commit,
@@ -61,8 +61,8 @@
     bool read_only{false};                 ///< `begin`: the transaction only reads.
     std::string name;                      ///< `set`: variable; else a prepared statement's name.
     std::string value;                     ///< `set`: value; `execute`: arguments.
-    access_mode access{access_mode::read}; ///< `prepare`: what it does.
-    std::string shape;                     ///< `prepare`: what is prepared.
+    access_mode access{access_mode::read}; ///< `prepare`: whether the statement reads or writes.
+    std::string shape;                     ///< `prepare`: the statement to prepare.
     std::string text;                      ///< As the caller wrote it.
 };
 
@@ -70,12 +70,12 @@
 enum class statement_error {
     none,
     busy,                 ///< Not run: no capacity now.
-    lagging,              ///< Not run: the log lacks the wanted position.
+    lagging,              ///< Not run: the log has not reached the required position.
     read_only,            ///< Not run: the backend server is not the primary.
-    misrouted,            ///< Not run: another backend server answers at this address.
-    too_many_connections, ///< Not run: the backend server takes no more connections.
-    no_statement,         ///< Not run: there is no such prepared statement.
-    aborted,              ///< Nothing of the transaction is kept.
+    misrouted,            ///< Not run: this address belongs to another backend server.
+    too_many_connections, ///< Not run: the backend server accepts no more connections.
+    no_statement,         ///< Not run: the prepared statement does not exist.
+    aborted,              ///< The transaction was rolled back.
     failed,               ///< Ran and failed.
     timeout,              ///< May have run.
     unknown_outcome,      ///< May have run.
@@ -105,10 +105,10 @@
          {statement_error::malformed, "malformed"}}};
 };
 
-/// @brief Stable text of @a problem, as used in logs and metrics.
+/// @brief Stable name of @a problem in logs and metrics.
 [[nodiscard]] const char* to_string(statement_error problem) noexcept;
 
-/// @brief Whether @a problem promises that the statement was not run.
+/// @brief Whether @a problem guarantees that the statement was not run.
 [[nodiscard]] constexpr bool promises_not_run(statement_error problem) noexcept {
     return problem == statement_error::busy || problem == statement_error::lagging ||
            problem == statement_error::read_only || problem == statement_error::misrouted ||
@@ -127,14 +127,14 @@
          {transaction_state::failed, "failed"}}};
 };
 
-/// @brief Answer to one statement.
+/// @brief Reply to one statement.
 struct statement_reply {
     std::vector<std::string> rows;
-    std::string signature; ///< Of the backend server that ran it; `-` for the proxy's answers.
+    std::string signature; ///< Of the backend server that ran it; `-` if the proxy replied itself.
     statement_error problem{statement_error::none};
-    std::string detail; ///< Text of the problem.
+    std::string detail; ///< Error message.
     transaction_state state{transaction_state::idle};
-    std::optional<log_point> position; ///< Log of the backend server at the answer.
+    std::optional<log_point> position; ///< Log position of the backend server at the reply.
 
     static constexpr auto fields() {
         using self = statement_reply;
@@ -144,14 +144,15 @@
     }
 };
 
-/// @brief What a backend server says about itself and its group.
+/// @brief State that a backend server reports about itself and its group.
 struct member_status {
     backend_role role{backend_role::replica};
-    jackdawvane::term term;      ///< Newest term that it knows.
-    log_point received;          ///< End of the log that it has received.
-    jackdawvane::term held_term; ///< It receives nothing until this term has a primary; 0 if none.
-    duration lag{0};             ///< Between receiving and applying.
-    std::uint32_t busy{0};       ///< Statements in hand.
+    jackdawvane::term term; ///< Highest term that it knows.
+    log_point received;     ///< End of the log that it has received.
+    /// Replication is suspended until this term has a primary; 0 if it is not suspended.
+    jackdawvane::term held_term;
+    duration lag{0};       ///< Delay between receiving and applying log entries.
+    std::uint32_t busy{0}; ///< Statements in progress.
     std::uint32_t connections{0};
 
     static constexpr auto fields() {
@@ -167,10 +168,10 @@
     friend bool operator==(const member_status&, const member_status&) = default;
 };
 
-/// @brief Statement that the proxy sends to a backend server.
+/// @brief Type of a command that the proxy sends to a backend server.
 enum class command_kind {
     caller_text, ///< A caller's statement, unchanged.
-    execute,     ///< A caller's statement with the prepared name that the connection knows.
+    execute,     ///< A caller's prepared statement under its name on the connection.
     begin,
     begin_read,
     rollback,
@@ -178,7 +179,7 @@
     set,
     prepare,
     status,
-    hold,      ///< Receive nothing until the given term has a primary.
+    hold,      ///< Suspends replication until the given term has a primary.
     resume,    ///< Ends `hold`.
     step_down, ///< A primary of a lower term becomes a replica.
 };
@@ -200,11 +201,11 @@
          {command_kind::step_down, "step_down"}}};
 };
 
-/// @brief One statement for a backend server.
+/// @brief One command for a backend server.
 struct backend_command {
     command_kind kind{command_kind::caller_text};
-    statement_id id;                ///< Empty for the proxy's own statements.
-    std::optional<log_point> after; ///< The log has to reach this point first.
+    statement_id id;                ///< Empty for the proxy's own commands.
+    std::optional<log_point> after; ///< The log must reach this position before the command runs.
     std::string name;               ///< `set`, `prepare`, `execute`.
     std::string value;              ///< `set`: value; `execute`: arguments; `caller_text`: text.
     access_mode access{access_mode::read};
@@ -232,10 +233,10 @@
     friend auto operator<=>(const prepared_statement&, const prepared_statement&) = default;
 };
 
-/// @brief A statement on its way to the VM that holds the connections to a backend server.
+/// @brief A statement that is forwarded to the VM that owns the connections to a backend server.
 ///
-/// The lease is the entry VM's name for one connection; it is bound to a connection by the first
-/// statement and keeps it until the entry releases it.
+/// The lease is the entry VM's identifier for one connection. The first statement binds it to a
+/// connection, which it keeps until the entry VM releases it.
 struct member_statement {
     static constexpr const char* method = "statement.forward";
     connection_id lease;
@@ -243,12 +244,12 @@
     backend_server_id backend;
     organisation_id organisation;
     std::map<std::string, std::string> values;
-    std::optional<prepared_statement> prepared; ///< Set when the statement is prepared.
+    std::optional<prepared_statement> prepared; ///< Set if the statement is prepared.
     bool writes{false};
-    bool continues{false};                ///< Belongs to a transaction that is open on the lease.
+    bool continues{false};                ///< Belongs to an open transaction of the lease.
     std::optional<backend_command> begin; ///< Opens a transaction before the statement.
     backend_command main;
-    duration remaining{0}; ///< The statement is not started later than this after its arrival.
+    duration remaining{0}; ///< Time after arrival within which the statement may start.
 
     static constexpr auto fields() {
         using self = member_statement;
@@ -262,14 +263,14 @@
     }
 };
 
-/// @brief How a statement ended at the VM that holds the connection.
+/// @brief Result of a statement from the VM that owns the connection.
 struct attempt_result {
     static constexpr const char* method = "statement.result";
     attempt_id attempt;
     connection_id lease;
     backend_server_id backend;
     statement_reply reply;
-    bool answered{false};    ///< Otherwise there is no answer of the backend server.
+    bool answered{false};    ///< Whether the backend server, or the owner for it, replied.
     bool sent{false};        ///< The statement may have reached the backend server.
     bool unreachable{false}; ///< The VM cannot connect to the backend server.
 
@@ -282,13 +283,13 @@
     }
 };
 
-/// @brief The entry VM does not need a connection any more.
+/// @brief Request of the entry VM to release a leased connection.
 struct lease_release {
     static constexpr const char* method = "statement.release";
     connection_id lease;
     backend_server_id backend;
-    bool in_transaction{false}; ///< Roll back first.
-    bool discard{false};        ///< The state of the session is in doubt.
+    bool in_transaction{false}; ///< Roll back before the connection is reused.
+    bool discard{false};        ///< Close the connection, as its session state is unknown.
 
     static constexpr auto fields() {
         using self = lease_release;
--- a/include/jackdawvane/sessions/ports.hpp
+++ b/include/jackdawvane/sessions/ports.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 /// @file
-/// @brief Events and actions of SQL sessions, beside those of `jackdawvane/node/ports.hpp`.
+/// @brief Events and actions of SQL sessions, in addition to those of `jackdawvane/node/ports.hpp`.
 
 namespace jackdawvane {
 
@@ -15,7 +15,7 @@
 struct session_started {
     session_id session;
     route_name database;
-    std::string key; ///< Names the caller; never stored or passed on.
+    std::string key; ///< Authenticates the caller; never stored or passed on.
 };
 
 /// @brief A caller sent a statement.
@@ -24,7 +24,7 @@
     jackdawvane::statement statement;
 };
 
-/// @brief A caller sent something that cannot be read.
+/// @brief A caller sent a malformed request.
 struct session_broken {
     session_id session;
     std::string reason;
@@ -44,7 +44,7 @@
 /// @brief How a connection to a backend server ended.
 enum class close_reason {
     refused,  ///< Nothing listens there.
-    rejected, ///< The backend server answered the start with an error.
+    rejected, ///< The backend server answered the connection start with an error.
     timeout,
     lost,
 };
@@ -56,17 +56,17 @@
 struct member_closed {
     connection_id connection;
     close_reason reason{close_reason::lost};
-    statement_error problem{statement_error::none}; ///< Set when rejected.
+    statement_error problem{statement_error::none}; ///< Set if rejected.
 };
 
-/// @brief Answer of a backend server to the oldest open command of a connection.
+/// @brief Reply of a backend server to the oldest unanswered command of a connection.
 struct member_replied {
     connection_id connection;
     statement_reply reply;
-    std::optional<member_status> status; ///< When the answer has a status row.
+    std::optional<member_status> status; ///< Set if the reply has a status row.
 };
 
-/// @brief The platform answered a promotion call.
+/// @brief The platform answered a promotion request.
 struct promotion_answered {
     group_id group;
     backend_server_id backend;
@@ -74,31 +74,31 @@
     bool not_running{false}; ///< The backend server is not running.
 };
 
-/// @brief Everything that a host reports to a session proxy.
+/// @brief Any event that a host reports to a session proxy.
 using proxy_event =
     std::variant<session_started, statement_received, session_broken, session_closed, member_ready,
                  member_closed, member_replied, promotion_answered, store_answer, peer_received,
                  peer_disconnected, stop_requested, timer_tick>;
 
-/// @brief Tell a caller that its session is open.
+/// @brief Confirm to a caller that its session is open.
 struct greet_session {
     session_id session;
 };
 
-/// @brief Answer the oldest open statement of a session.
+/// @brief Reply to the oldest unanswered statement of a session.
 struct answer_statement {
     session_id session;
     statement_reply reply;
 };
 
-/// @brief Refuse a session: an error, then a close.
+/// @brief Refuse a session: send an error, then close it.
 struct reject_session {
     session_id session;
     statement_error problem{statement_error::none};
     std::string detail;
 };
 
-/// @brief Close a session that waits for nothing.
+/// @brief Close a session that has no unanswered statement.
 struct end_session {
     session_id session;
 };
@@ -112,7 +112,7 @@
     backend_server_id expected;
 };
 
-/// @brief Send statements on a connection, in one piece. They wait for the connection to open.
+/// @brief Send commands on a connection in one write, once the connection is open.
 struct send_to_member {
     connection_id connection;
     std::vector<backend_command> commands;
@@ -123,19 +123,19 @@
     connection_id connection;
 };
 
-/// @brief Have the platform make a backend server the primary of its group.
+/// @brief Ask the platform to promote a backend server to primary of its group.
 struct promote_member {
     group_id group;
     backend_server_id backend;
-    vm_id holder;           ///< VM that holds the duty.
-    std::uint64_t fence{0}; ///< Rises with each change of the holder.
+    vm_id holder;           ///< VM that is the failover coordinator.
+    std::uint64_t fence{0}; ///< Fencing token: increases with each change of the holder.
 };
 
-/// @brief Everything that a session proxy asks of its host, besides the common actions.
+/// @brief Any action that a session proxy requests of its host, except the common actions.
 using session_action = std::variant<greet_session, answer_statement, reject_session, end_session,
                                     open_member, send_to_member, close_member, promote_member>;
 
-/// @brief Actions of one event.
+/// @brief Actions that result from one event.
 struct proxy_output {
     std::vector<session_action> sessions;
     actions common;
