--- a/tests/core/session_fixture.hpp
+++ b/tests/core/session_fixture.hpp
@@ -12,7 +12,8 @@
 #include <vector>
 
 /// @file
-/// @brief Parts of SQL sessions with a configuration of one route and a group of three servers.
+/// @brief Components of SQL sessions with a configuration of one route and a group of three
+/// servers.
 
 namespace jackdawvane::testing {
 
@@ -72,7 +73,7 @@
     return document;
 }
 
-/// @brief Admits everything.
+/// @brief Admits every request unless `state` is changed.
 class open_admission final : public admission_service {
   public:
     admission admit(time_point /*now*/, session_id session, const organisation_id& /*name*/,
@@ -84,10 +85,11 @@
     admission_state state{admission_state::admitted};
 };
 
-/// @brief One VM's sessions, gateway, owner and connections; the test plays callers and servers.
+/// @brief Session executor, `member_gateway`, `member_owner` and connections of one VM; the test
+/// acts as callers and servers.
 class session_fixture {
   public:
-    /// @brief The proved primary is `p`; reads go to a replica first.
+    /// @brief The confirmed primary is `p`; reads go to a replica first.
     explicit session_fixture(consistency_mode consistency = consistency_mode::read_your_writes)
         : backends{state, {}, ids}, owner{state, backends, {}}, gateway{state, owner, {}, ids},
           executor{state, gateway, limits, {}} {
@@ -101,7 +103,7 @@
         prove(0);
     }
 
-    /// @brief Statuses that prove `p` as the primary of term 1 with the log 1.10.
+    /// @brief Reports statuses that confirm `p` as the primary of term 1; its log ends at @a end.
     void prove(std::int64_t milliseconds, log_point end = point(1, 10)) {
         auto& leadership = state.leadership(group_id{"g"});
         const auto now = at(milliseconds);
@@ -127,7 +129,7 @@
             executor.tick(now, out);
         });
     }
-    /// @brief All open connections to servers become ready.
+    /// @brief Accepts all connections to servers that were requested since the last call.
     void accept(std::int64_t milliseconds) {
         const auto opened = take<open_member>();
         for (const auto& each : opened) {
@@ -165,7 +167,7 @@
         out.sessions = std::move(rest);
         return found;
     }
-    /// @brief Replies to the caller since the last call.
+    /// @brief Removes and returns the replies to the caller since the last call.
     std::vector<statement_reply> answers() {
         std::vector<statement_reply> found;
         for (auto& each : take<answer_statement>()) {
@@ -173,7 +175,7 @@
         }
         return found;
     }
-    /// @brief Commands to servers since the last call.
+    /// @brief Removes and returns the commands to servers since the last call.
     std::vector<std::pair<connection_id, backend_command>> commands() {
         std::vector<std::pair<connection_id, backend_command>> found;
         for (auto& each : take<send_to_member>()) {
