--- a/include/jackdawvane/sessions/duty_lease.hpp
+++ b/include/jackdawvane/sessions/duty_lease.hpp
@@ -10,48 +10,52 @@
 
 namespace jackdawvane {
 
-/// @brief Times of the lease of a duty.
+/// @brief Settings of the lease of the failover coordinator.
 struct duty_lease_settings {
     std::string key{"duty/promotion"};
-    duration lease{std::chrono::seconds{4}};
-    /// Three renewals may fail before the lease ends.
-    duration renewal{std::chrono::milliseconds{1200}};
-    /// The store's clock may run this much faster than the own one, in parts of the lease.
-    int margin_divisor{8};
-    /// Between two tries of the first VM; a VM of rank r waits r times as long more.
-    duration try_interval{std::chrono::milliseconds{1000}};
-    /// VMs that try as soon as they start.
-    std::size_t candidates{3};
+    /// Time after which the store expires a lease that is not renewed.
+    duration lease_duration{std::chrono::seconds{4}};
+    /// Between two renewals; three fit into the lease duration.
+    duration renewal_interval{std::chrono::milliseconds{1200}};
+    /// This VM treats the lease as expired earlier by the lease duration divided by this number, as
+    /// the store's clock may run faster than its own.
+    int clock_margin_divisor{8};
+    /// Between two acquire attempts of the VM of rank 0; a VM of rank r waits r + 1 times as long.
+    duration acquire_interval{std::chrono::milliseconds{1000}};
+    /// VMs of the lowest ranks that try to acquire the lease as soon as they start.
+    std::size_t immediate_candidates{3};
 };
 
-/// @brief Holds a duty for this VM by a lease in the store.
+/// @brief Elects the failover coordinator, one VM at a time, by a lease in the store.
 ///
-/// The fence is the store's version of the key, so it rises with each change of the holder. By
-/// its own clock, counted from before each call, this VM stops acting before the store can give
-/// the duty to another VM.
+/// The fencing token is the store's version of the key, so it increases with each change of the
+/// holder. Expiry is measured on this VM's clock from before each request was sent, so this VM
+/// stops acting before the store can grant the lease to another VM.
 class duty_lease {
   public:
     duty_lease(vm_id self, duty_lease_settings settings, id_sequence<request_id>& ids);
 
-    /// @param rank place of this VM among all, from 0; every VM tries, as those before it may be
-    /// out of the store's reach
+    /// @brief Acquires or renews the lease when due.
+    /// @param rank rank of this VM among all, from 0; every VM tries to acquire the lease, as VMs
+    /// of lower rank may be unable to reach the store
     void tick(time_point now, std::size_t rank, actions& out);
-    /// @return whether the answer belongs to this part
+    /// @return whether @a answer is for a request of this lease
     bool on_store(time_point now, const store_answer& answer, actions& out);
-    /// @brief The VM was paused: what the clock says of the lease is not to be trusted.
+    /// @brief Drops the lease after a pause of this VM, as its expiry time is not reliable.
     void paused(actions& out);
-    /// @brief Gives the duty up.
+    /// @brief Releases the lease and does not acquire it again.
     void leave(actions& out);
 
     [[nodiscard]] bool held(time_point now) const noexcept {
-        return holder_ && !leaving_ && now < until_;
+        return holder_ && !leaving_ && now < held_until_;
     }
     [[nodiscard]] std::uint64_t fence() const noexcept { return fence_; }
 
   private:
-    void call(time_point now, store_operation operation, actions& out);
-    /// Between two tries of a VM.
-    [[nodiscard]] duration pause_of(std::size_t rank) const;
+    void send_request(time_point now, store_operation operation, actions& out);
+    /// Time between two acquire attempts of a VM of @a rank; grows with the rank to limit store
+    /// load.
+    [[nodiscard]] duration acquire_delay(std::size_t rank) const;
 
     vm_id self_;
     duty_lease_settings settings_;
@@ -60,13 +64,13 @@
     bool leaving_{false};
     bool started_{false};
     std::uint64_t fence_{0};
-    time_point until_{time_point::min()};
-    time_point next_{};  ///< Renewal of the holder.
-    time_point tried_{}; ///< Last try of a VM that does not hold the duty.
-    bool pending_{false};
-    request_id call_;
+    time_point held_until_{time_point::min()};
+    time_point next_renewal_{}; ///< Next renewal, as holder.
+    time_point last_attempt_{}; ///< Last attempt to acquire the lease.
+    bool request_pending_{false};
+    request_id request_id_;
     store_operation operation_{store_operation::acquire_lease};
-    time_point sent_{};
+    time_point request_sent_{};
 };
 
 } // namespace jackdawvane
--- a/src/core/sessions/duty_lease.cpp
+++ b/src/core/sessions/duty_lease.cpp
@@ -7,29 +7,28 @@
 namespace {
 
 constexpr const char* log_part = "duty";
-/// A call without an answer for this long is given up.
-constexpr duration call_limit = std::chrono::milliseconds{1500};
+/// A store request without an answer for this long is abandoned.
+constexpr duration request_timeout = std::chrono::milliseconds{1500};
 
 } // namespace
 
 duty_lease::duty_lease(vm_id self, duty_lease_settings settings, id_sequence<request_id>& ids)
     : self_{std::move(self)}, settings_{std::move(settings)}, ids_{ids} {}
 
-void duty_lease::call(time_point now, store_operation operation, actions& out) {
+void duty_lease::send_request(time_point now, store_operation operation, actions& out) {
     store_request request;
-    request.id = call_ = ids_.next();
+    request.id = request_id_ = ids_.next();
     request.operation = operation_ = operation;
     request.key = settings_.key;
     request.value = self_.str();
-    request.lease = settings_.lease;
-    pending_ = true;
-    sent_ = now;
+    request.lease = settings_.lease_duration;
+    request_pending_ = true;
+    request_sent_ = now;
     out.emplace_back(std::move(request));
 }
 
-/// A VM asks the more rarely the more VMs come before it.
-duration duty_lease::pause_of(std::size_t rank) const {
-    return settings_.try_interval * static_cast<int>(rank + 1);
+duration duty_lease::acquire_delay(std::size_t rank) const {
+    return settings_.acquire_interval * static_cast<int>(rank + 1);
 }
 
 void duty_lease::tick(time_point now, std::size_t rank, actions& out) {
@@ -37,46 +36,47 @@
         return;
     }
     if (!std::exchange(started_, true)) {
-        // Those after the first candidates wait, so that a fleet does not ask all at once.
-        tried_ = rank < settings_.candidates ? now - pause_of(rank) : now;
+        // VMs of higher rank wait, so that a whole fleet does not send requests at once.
+        last_attempt_ = rank < settings_.immediate_candidates ? now - acquire_delay(rank) : now;
     }
-    if (holder_ && now >= until_) {
+    if (holder_ && now >= held_until_) {
         holder_ = false;
-        log(out, log_part, log_level::warning, "lost: the lease may have ended");
+        log(out, log_part, log_level::warning, "lost: the lease may have expired");
     }
-    if (pending_ && now - sent_ > call_limit) {
-        pending_ = false;
+    if (request_pending_ && now - request_sent_ > request_timeout) {
+        request_pending_ = false;
     }
-    if (pending_) {
+    if (request_pending_) {
         return;
     }
-    // The present rank counts: those before this VM may have gone since its last try.
-    if (holder_ && now >= next_) {
-        next_ = now + settings_.renewal;
-        call(now, store_operation::keep_lease, out);
-    } else if (!holder_ && now >= tried_ + pause_of(rank)) {
-        tried_ = now;
-        call(now, store_operation::acquire_lease, out);
+    // Uses the current rank: VMs of lower rank may have gone since the last attempt.
+    if (holder_ && now >= next_renewal_) {
+        next_renewal_ = now + settings_.renewal_interval;
+        send_request(now, store_operation::keep_lease, out);
+    } else if (!holder_ && now >= last_attempt_ + acquire_delay(rank)) {
+        last_attempt_ = now;
+        send_request(now, store_operation::acquire_lease, out);
     }
 }
 
 bool duty_lease::on_store(time_point now, const store_answer& answer, actions& out) {
-    if (!pending_ || answer.id != call_) {
+    if (!request_pending_ || answer.id != request_id_) {
         return false;
     }
-    pending_ = false;
+    request_pending_ = false;
     const bool acquiring = operation_ == store_operation::acquire_lease;
     if (answer.status == store_status::ok) {
-        until_ = sent_ + settings_.lease - settings_.lease / settings_.margin_divisor;
+        held_until_ = request_sent_ + settings_.lease_duration -
+                      settings_.lease_duration / settings_.clock_margin_divisor;
         if (acquiring && !leaving_) {
             holder_ = true;
             fence_ = answer.version;
-            next_ = now + settings_.renewal;
+            next_renewal_ = now + settings_.renewal_interval;
             log(out, log_part, log_level::info, "held fence=" + std::to_string(fence_));
         }
     } else if (!acquiring && answer.status == store_status::not_found && holder_) {
         holder_ = false;
-        log(out, log_part, log_level::warning, "lost: the store has ended the lease");
+        log(out, log_part, log_level::warning, "lost: the lease expired in the store");
     }
     return true;
 }
@@ -84,9 +84,9 @@
 void duty_lease::paused(actions& out) {
     if (holder_) {
         holder_ = false;
-        log(out, log_part, log_level::warning, "given up after a pause of this VM");
+        log(out, log_part, log_level::warning, "lost: this VM was paused");
     }
-    pending_ = false;
+    request_pending_ = false;
 }
 
 void duty_lease::leave(actions& out) {
@@ -96,7 +96,7 @@
         request.operation = store_operation::release_lease;
         request.key = settings_.key;
         out.emplace_back(std::move(request));
-        log(out, log_part, log_level::info, "given up fence=" + std::to_string(fence_));
+        log(out, log_part, log_level::info, "released fence=" + std::to_string(fence_));
     }
     holder_ = false;
 }
