--- a/tests/core/promotion_duty_test.cpp
+++ b/tests/core/promotion_duty_test.cpp
@@ -10,14 +10,12 @@
 
 using namespace testing; // NOLINT(google-build-using-namespace)
 
-/// @brief A duty holder before a primary and two replicas whose answers the test gives.
+/// @brief A lease holder with a primary and two replicas whose answers the test controls.
 class PromotionDuty : public ::testing::Test {
   protected:
     PromotionDuty()
-        : observer{state, {}, connections, requests}, lease{vm_id{"a"}, {}, requests}, duty{
-                                                                                           state,
-                                                                                           observer,
-                                                                                           lease} {
+        : observer{state, {}, connections, requests}, lease{vm_id{"a"}, {}, requests},
+          coordinator{state, observer, lease} {
         state.self = vm("a");
         state.live = {state.self};
         state.configuration = session_configuration();
@@ -37,16 +35,16 @@
         observer.set_always_active(true);
     }
 
-    /// One step of the clock; servers that are up answer at once.
+    /// Runs one tick at @a milliseconds; servers that are up answer immediately.
     void step(std::int64_t milliseconds) {
         const auto now = at(milliseconds);
         keep_lease(now);
         observer.tick(now, out);
-        duty.tick(now, out);
+        coordinator.tick(now, out);
         for (int i = 0; i < 4; ++i) {
             answer_all(now);
             for (const auto& each : observer.take_answers()) {
-                duty.on_control(now, each, out);
+                coordinator.on_control(now, each, out);
             }
         }
     }
@@ -87,19 +85,19 @@
             if (silent.contains(name)) {
                 continue;
             }
-            auto& own = status[name];
+            auto& current_status = status[name];
             commands.emplace_back(name, command.kind);
             if (command.kind == command_kind::hold) {
-                own.held_term = command.term;
+                current_status.held_term = command.term;
             } else if (command.kind == command_kind::resume) {
-                own.held_term = term{};
+                current_status.held_term = term{};
             } else if (command.kind == command_kind::step_down) {
-                own.role = backend_role::replica;
+                current_status.role = backend_role::replica;
             }
-            observer.on_reply(now, {sent.connection, {}, own}, out);
+            observer.on_reply(now, {sent.connection, {}, current_status}, out);
         }
     }
-    void lose(const char* name, time_point now) {
+    void crash(const char* name, time_point now) {
         down.insert(name);
         for (const auto& [connection, member] : names) {
             if (member == name) {
@@ -107,12 +105,12 @@
             }
         }
     }
-    /// The platform's call has taken effect.
-    void lead(const std::string& name, std::uint64_t in_term) {
+    /// Applies a promotion: @a name is primary in term @a in_term and no server is held.
+    void complete_promotion(const std::string& name, std::uint64_t in_term) {
         status[name] = primary_status(in_term, status[name].received);
-        for (auto& [other, own] : status) {
-            own.term = term{in_term};
-            own.held_term = term{};
+        for (auto& [other, other_status] : status) {
+            other_status.term = term{in_term};
+            other_status.held_term = term{};
         }
     }
     bool sent(const char* name, command_kind kind) const {
@@ -125,7 +123,7 @@
     id_sequence<request_id> requests;
     group_observer observer;
     duty_lease lease;
-    promotion_duty duty;
+    promotion_duty coordinator;
     proxy_output out;
     store_answer fence_answer;
     std::map<connection_id, std::string> names;
@@ -144,7 +142,7 @@
 
 TEST_F(PromotionDuty, PromotesTheLongestLogOfACrashedPrimaryWithTheFence) {
     run(0, 500);
-    lose("p", at(500));
+    crash("p", at(500));
     run(500, 1000);
     ASSERT_FALSE(promotions.empty());
     EXPECT_EQ(promotions.front().backend, backend_server_id{"r1"});
@@ -153,7 +151,8 @@
     EXPECT_TRUE(sent("r2", command_kind::hold));
 }
 
-// Other VMs may hold proof of a silent primary, which may still serve them.
+// Other VMs may hold unexpired proofs of a primary that does not answer this VM but still serves
+// them.
 TEST_F(PromotionDuty, WaitsForProofsOfASilentPrimaryToRunOut) {
     run(0, 500);
     silent.insert("p");
@@ -170,42 +169,42 @@
     EXPECT_GE(now - 25 - *held, 800); // The validity of a proof.
 }
 
-TEST_F(PromotionDuty, DoesNothingWhenTheReplicasSilentToo) {
+TEST_F(PromotionDuty, DoesNothingWhenTheReplicasAreSilentToo) {
     run(0, 500);
     silent = {"p", "r1", "r2"};
     run(500, 4000);
     EXPECT_TRUE(promotions.empty());
 }
 
-/// Guards against a holder that takes its own lack of processor time, or a cut of its own, for the
-/// silence of every primary.
+/// Guards against a lease holder that is short of processor time or cut off, and treats the answers
+/// that it therefore gets late as failures of every primary.
 TEST_F(PromotionDuty, AnswersThatAreAllLateSayNothingOfThePrimary) {
     run(0, 500);
     silent = {"p", "r1", "r2"};
     run(500, 1900);
-    EXPECT_FALSE(duty.busy());
+    EXPECT_FALSE(coordinator.replacement_in_progress());
     EXPECT_FALSE(sent("r1", command_kind::hold));
 }
 
-/// Guards against a new holder that takes the age of what it last needed to know for silence: a VM
-/// without the duty asks only about the groups of its statements.
+/// Guards against a new lease holder that treats stale evidence as a failure of the primary: a VM
+/// without the lease queries only the groups that its statements need.
 TEST_F(PromotionDuty, NewHolderAsksBeforeItJudges) {
     run(0, 500);
     lease.paused(out.common);
-    duty.tick(at(520), out);
-    duty.tick(at(4990), out);
+    coordinator.tick(at(520), out);
+    coordinator.tick(at(4990), out);
     out.common.clear();
     lease.tick(at(5000), 0, out.common);
     ASSERT_FALSE(out.common.empty());
     const auto id = std::get<store_request>(out.common.front()).id;
     lease.on_store(at(5001), {id, store_status::ok, {}, 42, {}}, out.common);
     step(5025);
-    EXPECT_FALSE(duty.busy());
+    EXPECT_FALSE(coordinator.replacement_in_progress());
     run(5050, 6000);
-    EXPECT_FALSE(duty.busy());
+    EXPECT_FALSE(coordinator.replacement_in_progress());
 }
 
-// A commit that only the leaving primary has would be lost.
+// Without the step-down a commit that only the leaving primary has would be lost.
 TEST_F(PromotionDuty, LeavingPrimaryStepsDownBeforeAReplicaIsPromoted) {
     run(0, 500);
     auto leaving = registration("p");
@@ -224,10 +223,10 @@
 
 TEST_F(PromotionDuty, TriesAnotherReplicaWhenTheFirstIsNotRunning) {
     run(0, 500);
-    lose("p", at(500));
+    crash("p", at(500));
     run(500, 1000);
     ASSERT_EQ(promotions.size(), 1U);
-    duty.on_promotion(at(1000), {group_id{"g"}, backend_server_id{"r1"}, false, true}, out);
+    coordinator.on_promotion(at(1000), {group_id{"g"}, backend_server_id{"r1"}, false, true}, out);
     run(1000, 1400);
     ASSERT_EQ(promotions.size(), 2U);
     EXPECT_EQ(promotions.back().backend, backend_server_id{"r2"});
@@ -235,10 +234,10 @@
 
 TEST_F(PromotionDuty, OldPrimaryThatComesBackStepsDown) {
     run(0, 500);
-    lose("p", at(500));
+    crash("p", at(500));
     run(500, 1000);
-    duty.on_promotion(at(1000), {group_id{"g"}, backend_server_id{"r1"}, true, false}, out);
-    lead("r1", 2);
+    coordinator.on_promotion(at(1000), {group_id{"g"}, backend_server_id{"r1"}, true, false}, out);
+    complete_promotion("r1", 2);
     status["p"] = primary_status(1, point(1, 10));
     down.clear();
     commands.clear();
@@ -246,14 +245,14 @@
     EXPECT_TRUE(sent("p", command_kind::step_down));
 }
 
-// A holder whose lease may have ended must not act: another one may.
-TEST_F(PromotionDuty, StopsWithoutTheDuty) {
+// A holder whose lease may have expired must not act, as another VM may hold the lease.
+TEST_F(PromotionDuty, StopsWithoutTheLease) {
     run(0, 500);
     lease.paused(out.common);
-    lose("p", at(500));
+    crash("p", at(500));
     const auto now = at(600);
-    duty.tick(now, out);
-    EXPECT_FALSE(duty.busy());
+    coordinator.tick(now, out);
+    EXPECT_FALSE(coordinator.replacement_in_progress());
 }
 
 TEST(DutyLease, EndsByItsOwnClockBeforeTheStoreCanGiveItAway) {
@@ -264,19 +263,20 @@
     const auto id = std::get<store_request>(out.front()).id;
     ASSERT_TRUE(lease.on_store(at(900), {id, store_status::ok, {}, 7, {}}, out));
     EXPECT_TRUE(lease.held(at(3499)));
-    EXPECT_FALSE(lease.held(at(3500))); // Four seconds from the call, less the margin.
+    EXPECT_FALSE(lease.held(at(3500))); // 4 s from the request, less 4 s / 8.
 }
 
-struct duty_rank_case {
+struct coordinator_rank_case {
     std::size_t rank;
-    int first_try_ms;       ///< At the latest.
-    std::size_t most_tries; ///< In a minute.
+    int first_attempt_ms;     ///< At the latest.
+    std::size_t max_attempts; ///< In one minute.
 };
 
-class DutyRanks : public ::testing::TestWithParam<duty_rank_case> {
+class DutyRanks : public ::testing::TestWithParam<coordinator_rank_case> {
   protected:
-    /// When a VM tries in a minute in which the store refuses or gives no answer, in ms.
-    static std::vector<int> tries(bool answered) {
+    /// Times in ms of the acquire attempts in one minute. The store refuses them or, without
+    /// @a answered, does not answer.
+    static std::vector<int> attempt_times(bool answered) {
         id_sequence<request_id> requests;
         duty_lease lease{vm_id{"a"}, {}, requests};
         std::vector<int> found;
@@ -296,27 +296,29 @@
     }
 };
 
-/// Guards against a duty that nobody takes while the first VMs by rank are cut off from the store,
-/// and against a fleet that all asks for it, also when the store does not answer.
+/// Guards against a lease that no VM acquires while the VMs of the lowest ranks are cut off from
+/// the store, and against a whole fleet that requests it often, also when the store does not
+/// answer.
 TEST_P(DutyRanks, EveryVmTriesAndLaterOnesRarely) {
     for (const bool answered : {true, false}) {
-        const auto found = tries(answered);
-        ASSERT_FALSE(found.empty());
-        EXPECT_LE(found.front(), GetParam().first_try_ms);
-        EXPECT_LE(found.size(), GetParam().most_tries);
+        const auto times = attempt_times(answered);
+        ASSERT_FALSE(times.empty());
+        EXPECT_LE(times.front(), GetParam().first_attempt_ms);
+        EXPECT_LE(times.size(), GetParam().max_attempts);
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(DutyLease, DutyRanks,
-                         ::testing::Values(duty_rank_case{0, 0, 60}, duty_rank_case{2, 0, 20},
-                                           duty_rank_case{3, 4'000, 15},
-                                           duty_rank_case{20, 21'000, 2}));
+                         ::testing::Values(coordinator_rank_case{0, 0, 60},
+                                           coordinator_rank_case{2, 0, 20},
+                                           coordinator_rank_case{3, 4'000, 15},
+                                           coordinator_rank_case{20, 21'000, 2}));
 
-/// Guards against a VM that waits by its former rank after those before it have gone.
+/// Guards against a VM that waits according to its previous rank after VMs of lower rank have gone.
 TEST(DutyLease, VmThatComesFirstTriesByItsNewRank) {
     id_sequence<request_id> requests;
     duty_lease lease{vm_id{"a"}, {}, requests};
-    const auto tries_at = [&](int ms, std::size_t rank) {
+    const auto attempts_at = [&](int ms, std::size_t rank) {
         actions out;
         lease.tick(at(ms), rank, out);
         for (const auto& each : out) {
@@ -328,13 +330,13 @@
         }
         return false;
     };
-    EXPECT_FALSE(tries_at(0, 6));
-    EXPECT_TRUE(tries_at(7'000, 6));
-    EXPECT_FALSE(tries_at(7'500, 0));
-    EXPECT_TRUE(tries_at(8'000, 0));
+    EXPECT_FALSE(attempts_at(0, 6));
+    EXPECT_TRUE(attempts_at(7'000, 6));
+    EXPECT_FALSE(attempts_at(7'500, 0));
+    EXPECT_TRUE(attempts_at(8'000, 0));
 }
 
-TEST(DutyLease, RenewalThatFindsTheLeaseEndedLosesTheDuty) {
+TEST(DutyLease, RenewalThatFindsTheLeaseExpiredLosesIt) {
     id_sequence<request_id> ids;
     duty_lease lease{vm_id{"a"}, {}, ids};
     actions out;
