--- a/include/jackdawvane/sessions/fleet_state.hpp
+++ b/include/jackdawvane/sessions/fleet_state.hpp
@@ -12,22 +12,23 @@
 
 namespace jackdawvane {
 
-/// @brief What the parts of a session proxy know in common.
+/// @brief State that the components of a session proxy share.
 struct fleet_state {
     vm_entry self;
     std::vector<vm_entry> live;     ///< VMs that are believed to be alive, sorted by id.
-    std::uint64_t fleet_version{0}; ///< Rises with each change of `live`.
+    std::uint64_t fleet_version{0}; ///< Increases with each change of `live`.
     std::shared_ptr<const configuration_document> configuration;
     backend_directory directory;
     std::map<group_id, group_leadership> leaderships;
     std::map<failure_domain_id, region_id> regions; ///< Region of each failure domain.
-    /// Groups whose evidence statements wait for, or will soon; the observer asks for it.
+    /// Groups whose leadership evidence statements wait for or will need soon; the observer queries
+    /// for it and clears the set.
     std::set<group_id> awaited;
 
-    /// @brief Leadership of @a group; created when it is new.
+    /// @brief Leadership of @a group; created on first use.
     group_leadership& leadership(const group_id& group) { return leaderships[group]; }
 
-    /// @brief Takes over the members of all groups from the directory.
+    /// @brief Copies the members of all groups from the directory to their leaderships.
     void follow_directory() {
         for (const auto& group : directory.groups()) {
             leaderships[group].set_members(directory.members(group));
@@ -40,7 +41,7 @@
         return found == regions.end() ? region_id{} : found->second;
     }
 
-    /// @brief Live VM @a vm, or null.
+    /// @brief Entry of @a vm, or null when it is not live.
     [[nodiscard]] const vm_entry* find_vm(const vm_id& vm) const {
         const auto found = std::lower_bound(
             live.begin(), live.end(), vm,
@@ -48,7 +49,7 @@
         return found == live.end() || found->vm != vm ? nullptr : &*found;
     }
 
-    /// @brief Row of @a group, or null.
+    /// @brief Configuration row of @a group, or null.
     [[nodiscard]] const group_row* find_group(const group_id& group) const {
         if (!configuration) {
             return nullptr;
--- a/include/jackdawvane/sessions/vm_registration.hpp
+++ b/include/jackdawvane/sessions/vm_registration.hpp
@@ -7,23 +7,24 @@
 
 namespace jackdawvane {
 
-/// @brief Times of this VM's entry in the VM list.
+/// @brief Timing of this VM's entry in the VM list.
 struct registration_settings {
-    /// A VM that has died is listed for this long.
-    duration lease{std::chrono::seconds{6}};
-    duration renewal{std::chrono::seconds{2}};
-    duration retry{std::chrono::milliseconds{400}};
+    /// A VM that has crashed stays listed for at most this long.
+    duration lease_duration{std::chrono::seconds{6}};
+    duration renewal_interval{std::chrono::seconds{2}};
+    /// Delay before the next request after one that failed.
+    duration retry_delay{std::chrono::milliseconds{400}};
 };
 
-/// @brief Keeps this VM in the VM list by a lease in the store.
+/// @brief Keeps this VM in the VM list by a lease that it renews in the store.
 class vm_registration {
   public:
     vm_registration(vm_entry self, registration_settings settings, id_sequence<request_id>& ids);
 
     void tick(time_point now, actions& out);
-    /// @return whether the answer belongs to this part
+    /// @return whether @a answer is for a request of this registration
     bool on_store(time_point now, const store_answer& answer);
-    /// @brief Removes the entry.
+    /// @brief Removes the entry from the VM list.
     void leave(actions& out);
 
   private:
@@ -32,11 +33,11 @@
     vm_entry self_;
     registration_settings settings_;
     id_sequence<request_id>& ids_;
-    request_id call_;
-    bool pending_{false};
+    request_id request_id_;
+    bool request_pending_{false};
     bool leaving_{false};
-    time_point sent_{};
-    time_point next_{};
+    time_point request_sent_{};
+    time_point next_renewal_{};
 };
 
 } // namespace jackdawvane
--- a/src/core/sessions/vm_registration.cpp
+++ b/src/core/sessions/vm_registration.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-constexpr duration call_limit = std::chrono::seconds{2};
+/// A store request without an answer for this long is repeated.
+constexpr duration request_timeout = std::chrono::seconds{2};
 
 } // namespace
 
@@ -15,39 +16,39 @@
     : self_{std::move(self)}, settings_{settings}, ids_{ids} {}
 
 std::string vm_registration::key() const {
-    return "fleet/" + self_.vm.str(); // The rate limiter keeps its lease under vms/.
+    return "fleet/" + self_.vm.str(); // vms/ holds the rate limiter's leases.
 }
 
 void vm_registration::tick(time_point now, actions& out) {
     if (leaving_) {
         return;
     }
-    if (pending_ && now - sent_ > call_limit) {
-        pending_ = false;
-        next_ = now;
+    if (request_pending_ && now - request_sent_ > request_timeout) {
+        request_pending_ = false;
+        next_renewal_ = now;
     }
-    if (pending_ || now < next_) {
+    if (request_pending_ || now < next_renewal_) {
         return;
     }
     store_request request;
-    request.id = call_ = ids_.next();
+    request.id = request_id_ = ids_.next();
     request.operation = store_operation::renew_lease;
     request.key = key();
     request.value = write_json(to_json(self_));
-    request.lease = settings_.lease;
-    pending_ = true;
-    sent_ = now;
-    next_ = now + settings_.renewal;
+    request.lease = settings_.lease_duration;
+    request_pending_ = true;
+    request_sent_ = now;
+    next_renewal_ = now + settings_.renewal_interval;
     out.emplace_back(std::move(request));
 }
 
 bool vm_registration::on_store(time_point now, const store_answer& answer) {
-    if (!pending_ || answer.id != call_) {
+    if (!request_pending_ || answer.id != request_id_) {
         return false;
     }
-    pending_ = false;
+    request_pending_ = false;
     if (answer.status != store_status::ok) {
-        next_ = now + settings_.retry;
+        next_renewal_ = now + settings_.retry_delay;
     }
     return true;
 }
