--- a/include/jackdawvane/sessions/session_proxy.hpp
+++ b/include/jackdawvane/sessions/session_proxy.hpp
@@ -18,68 +18,73 @@
 struct session_proxy_settings {
     vm_entry self;
     vm_incarnation incarnation;
-    std::vector<endpoint> seeds; ///< Peer endpoints to ask when the store does not answer.
+    std::vector<endpoint> seeds; ///< Peer endpoints to contact when the store does not answer.
     std::map<failure_domain_id, region_id> regions;
     std::uint64_t random_seed{1};
-    std::uint32_t holders_per_domain{3}; ///< Holders of an organisation's rate per failure domain.
-    std::uint32_t most_holders{9};       ///< Holders of an organisation's rate in all.
-    /// Longest wait of an operation for its organisation's rate; far below any target latency.
+    /// VMs of each failure domain that hold a share of an organisation's rate.
+    std::uint32_t holders_per_domain{3};
+    /// VMs of all failure domains that hold a share of an organisation's rate.
+    std::uint32_t most_holders{9};
+    /// Longest wait of an operation for its organisation's rate limit; far below any target
+    /// latency.
     duration token_wait{from_milliseconds(200)};
     /// As `token_wait`, while this VM's share is not confirmed after its start.
-    duration joining_wait{from_milliseconds(900)};
-    /// Between two requests for more of an organisation's rate; each move costs a write and a
-    /// reading by every holder, and single tokens travel between VMs meanwhile.
+    duration joining_token_wait{from_milliseconds(900)};
+    /// Between two requests for a larger share of an organisation's rate. Each transfer costs a
+    /// write and a read by every holder; single tokens are passed between VMs in the meantime.
     duration share_interval{from_milliseconds(4000)};
-    /// Joins of VMs that start together are spread over this time.
-    duration share_join_spread{from_milliseconds(80)};
-    /// Tokens in transit are void after 150 ms; a part changes hands after that.
-    duration share_settle{from_milliseconds(220)};
-    duration share_retry{from_milliseconds(60)};
-    /// A first join waits until the VMs' views of the fleet agree after a start of all.
-    duration share_join_settle{from_milliseconds(1000)};
-    duration share_return{from_milliseconds(2000)};
+    /// Jitter of joins, so that VMs that start together do not join at once.
+    duration share_join_jitter{from_milliseconds(80)};
+    /// Delay from the last use of a share until another VM may hold it: tokens in transit expire
+    /// after 150 ms.
+    duration share_settle_delay{from_milliseconds(220)};
+    /// Shortest delay before a share request is repeated.
+    duration min_share_retry_delay{from_milliseconds(60)};
+    /// Delay of the first join, until the views of the fleet converge when all VMs start together.
+    duration share_join_delay{from_milliseconds(1000)};
+    duration share_return_delay{from_milliseconds(2000)};
     duration lease_renewal{from_milliseconds(1500)};
-    /// Life of a lease not renewed; the share of a killed VM is out of use for this time.
+    /// Lifetime of a lease that is not renewed; the share of a crashed VM is unusable until then.
     duration lease_duration{from_milliseconds(5000)};
     executor_settings executor;
     backend_session_settings backends;
     owner_settings owner;
     gateway_settings gateway;
     observer_settings observer;
-    promotion_duty_settings promotion;
-    duty_lease_settings duty;
+    promotion_duty_settings failover;
+    duty_lease_settings coordinator_lease;
     registration_settings registration;
 };
 
-/// @brief All parts that serve SQL sessions at one entry VM, joined.
+/// @brief Combines the components that serve SQL sessions at one entry VM.
 ///
-/// It shares membership, configuration copy, key check and rate limits with `node_interface`'s
-/// HTTP node and does no I/O either: events go in with their time, actions come out.
+/// It uses the same membership, configuration replica, key check and rate limiter as the HTTP node
+/// of `node_interface` and does no I/O either: it takes events with their time and returns actions.
 class session_proxy final : private admission_service {
   public:
     explicit session_proxy(const session_proxy_settings& settings);
 
-    void handle(time_point now, const proxy_event& what, proxy_output& out);
+    void handle(time_point now, const proxy_event& input, proxy_output& out);
     [[nodiscard]] time_point next_deadline() const;
-    /// @brief Whether new sessions should come here.
+    /// @brief Whether this VM accepts new sessions.
     [[nodiscard]] bool ready() const noexcept;
-    /// @brief State for operators.
+    /// @brief State as JSON, for operators.
     [[nodiscard]] Json::Value describe() const;
 
   private:
-    void on(time_point now, const session_started& what, proxy_output& out);
-    void on(time_point now, const statement_received& what, proxy_output& out);
-    void on(time_point now, const session_broken& what, proxy_output& out);
-    void on(time_point now, const session_closed& what, proxy_output& out);
-    void on(time_point now, const member_ready& what, proxy_output& out);
-    void on(time_point now, const member_closed& what, proxy_output& out);
-    void on(time_point now, const member_replied& what, proxy_output& out);
-    void on(time_point now, const promotion_answered& what, proxy_output& out);
-    void on(time_point now, const store_answer& what, proxy_output& out);
-    void on(time_point now, const peer_received& what, proxy_output& out);
-    void on(time_point now, const peer_disconnected& what, proxy_output& out);
-    void on(time_point now, const stop_requested& what, proxy_output& out);
-    void on(time_point now, const timer_tick& what, proxy_output& out);
+    void on(time_point now, const session_started& input, proxy_output& out);
+    void on(time_point now, const statement_received& input, proxy_output& out);
+    void on(time_point now, const session_broken& input, proxy_output& out);
+    void on(time_point now, const session_closed& input, proxy_output& out);
+    void on(time_point now, const member_ready& input, proxy_output& out);
+    void on(time_point now, const member_closed& input, proxy_output& out);
+    void on(time_point now, const member_replied& input, proxy_output& out);
+    void on(time_point now, const promotion_answered& input, proxy_output& out);
+    void on(time_point now, const store_answer& input, proxy_output& out);
+    void on(time_point now, const peer_received& input, proxy_output& out);
+    void on(time_point now, const peer_disconnected& input, proxy_output& out);
+    void on(time_point now, const stop_requested& input, proxy_output& out);
+    void on(time_point now, const timer_tick& input, proxy_output& out);
 
     void receive(time_point now, const peer_received& from, const membership_probe& message,
                  proxy_output& out);
@@ -113,10 +118,10 @@
     void check_pause(time_point now, proxy_output& out);
     void run_due(time_point now, proxy_output& out);
     void settle(time_point now, proxy_output& out);
-    void follow_configuration(time_point now, proxy_output& out);
-    void follow_fleet(time_point now, proxy_output& out);
+    void apply_configuration(time_point now, proxy_output& out);
+    void apply_membership(time_point now, proxy_output& out);
     void settle_statements(time_point now, proxy_output& out);
-    void vm_lost(const vm_id& vm, proxy_output& out);
+    void handle_vm_loss(const vm_id& vm, proxy_output& out);
     void report_readiness(proxy_output& out);
     void finish_leaving(time_point now, proxy_output& out);
 
@@ -129,20 +134,20 @@
     configuration_replica configuration_;
     rate_limiter limiter_;
     vm_registration registration_;
-    duty_lease duty_;
+    duty_lease coordinator_lease_;
     group_observer observer_;
-    promotion_duty promotion_;
+    promotion_duty coordinator_;
     backend_sessions backends_;
     member_owner owner_;
     member_gateway gateway_;
     statement_executor executor_;
     revision applied_revision_;
     std::uint64_t fleet_version_{0};
-    std::size_t duty_rank_{0};
+    std::size_t coordinator_rank_{0};
     bool reported_ready_{false};
     bool leaving_{false};
     bool stopped_{false};
-    time_point return_at_{}; ///< When this VM began to leave.
+    time_point leave_started_{};
     time_point next_slow_tick_{};
 };
 
--- a/src/core/sessions/session_proxy.cpp
+++ b/src/core/sessions/session_proxy.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Resolution of the lease and connection timers.
-constexpr duration slow_tick = std::chrono::milliseconds{50};
-/// Time for the store to take back what this VM holds, when it has no other work left.
-constexpr duration return_limit = std::chrono::milliseconds{700};
-
-/// Other VMs may still have leases of an earlier life of this VM, so ids are not used again. A
-/// life has fewer than two to the power of 20 connections in each millisecond that it lasts.
+/// Resolution of the timers of leases and connections.
+constexpr duration slow_tick_interval = std::chrono::milliseconds{50};
+/// Longest time from the start of a shutdown for the store to take back this VM's rate shares, when
+/// no session is left.
+constexpr duration share_return_timeout = std::chrono::milliseconds{700};
+
+/// First id of this incarnation. Other VMs may still hold leases of an earlier incarnation of this
+/// VM, so ids are never reused. An incarnation opens fewer than 2^20 connections per millisecond.
 std::uint64_t first_id(vm_incarnation incarnation) {
     return incarnation.value() << 20U;
 }
@@ -48,16 +49,16 @@
 rate_limiter_settings limiter_settings(const session_proxy_settings& settings) {
     rate_limiter_settings limits;
     limits.pending = settings.token_wait;
-    limits.joining = settings.joining_wait;
+    limits.joining = settings.joining_token_wait;
     limits.waits_for_own_share = true;
     limits.share_interval = settings.share_interval;
-    limits.shares.join_spread = settings.share_join_spread;
-    limits.shares.settle = settings.share_settle;
-    limits.shares.shortest_retry = settings.share_retry;
+    limits.shares.join_spread = settings.share_join_jitter;
+    limits.shares.settle = settings.share_settle_delay;
+    limits.shares.shortest_retry = settings.min_share_retry_delay;
     limits.lease = settings.lease_duration;
     limits.lease_renewal = settings.lease_renewal;
-    limits.shares.join_settle = settings.share_join_settle;
-    limits.shares.return_after = settings.share_return;
+    limits.shares.join_settle = settings.share_join_delay;
+    limits.shares.return_after = settings.share_return_delay;
     limits.holders_per_domain = settings.holders_per_domain;
     limits.most_holders = settings.most_holders;
     return limits;
@@ -73,19 +74,18 @@
       limiter_{settings.self.vm,           settings.incarnation, settings.self.place,
                limiter_settings(settings), request_ids_,         random_},
       registration_{settings.self, settings.registration, request_ids_},
-      duty_{settings.self.vm, settings.duty, request_ids_}, observer_{state_, settings.observer,
-                                                                      connection_ids_,
-                                                                      request_ids_},
-      promotion_{state_, observer_, duty_, settings.promotion}, backends_{state_, settings.backends,
-                                                                          connection_ids_},
+      coordinator_lease_{settings.self.vm, settings.coordinator_lease, request_ids_},
+      observer_{state_, settings.observer, connection_ids_, request_ids_},
+      coordinator_{state_, observer_, coordinator_lease_, settings.failover},
+      backends_{state_, settings.backends, connection_ids_},
       owner_{state_, backends_, settings.owner}, gateway_{state_, owner_, settings.gateway,
                                                           connection_ids_},
       executor_{state_, gateway_, *this, settings.executor,
                 attempt_id{first_id(settings.incarnation)}} {}
 
-void session_proxy::handle(time_point now, const proxy_event& what, proxy_output& out) {
+void session_proxy::handle(time_point now, const proxy_event& input, proxy_output& out) {
     check_pause(now, out);
-    std::visit([&](const auto& body) { on(now, body, out); }, what);
+    std::visit([&](const auto& body) { on(now, body, out); }, input);
     run_due(now, out);
     settle(now, out);
 }
@@ -96,7 +96,7 @@
     }
     log(out.common, "proxy", log_level::warning, "this VM was paused; leases are checked again");
     limiter_.paused(now, out.common);
-    duty_.paused(out.common);
+    coordinator_lease_.paused(out.common);
     owner_.paused(now);
 }
 
@@ -111,16 +111,16 @@
         limiter_.tick(now, out.common);
     }
     if (now >= next_slow_tick_) {
-        next_slow_tick_ = now + slow_tick;
+        next_slow_tick_ = now + slow_tick_interval;
         registration_.tick(now, out.common);
-        duty_.tick(now, duty_rank_, out.common);
+        coordinator_lease_.tick(now, coordinator_rank_, out.common);
         backends_.tick(now, out);
         owner_.tick(now, out);
     }
-    observer_.set_always_active(duty_.held(now));
+    observer_.set_always_active(coordinator_lease_.held(now));
     if (observer_.next_deadline() <= now) {
         observer_.tick(now, out);
-        promotion_.tick(now, out);
+        coordinator_.tick(now, out);
     }
     if (executor_.next_deadline() <= now) {
         executor_.tick(now, out);
@@ -134,13 +134,13 @@
 }
 
 void session_proxy::settle(time_point now, proxy_output& out) {
-    follow_configuration(now, out);
-    follow_fleet(now, out);
+    apply_configuration(now, out);
+    apply_membership(now, out);
     for (const auto& decision : limiter_.take_decisions()) {
         executor_.on_admission(now, decision, out);
     }
     for (const auto& answer : observer_.take_answers()) {
-        promotion_.on_control(now, answer, out);
+        coordinator_.on_control(now, answer, out);
     }
     settle_statements(now, out);
     observer_.query_awaited(now, out);
@@ -150,8 +150,8 @@
     }
 }
 
-/// Carries results from the connections over the owner and the gateway to the sessions, and what
-/// these send next the other way, until nothing moves.
+/// Passes results from the connections through the owner and the gateway to the sessions, and the
+/// sessions' next statements back, until no result is left.
 void session_proxy::settle_statements(time_point now, proxy_output& out) {
     bool progress = true;
     while (progress) {
@@ -170,12 +170,12 @@
     }
 }
 
-void session_proxy::vm_lost(const vm_id& vm, proxy_output& out) {
+void session_proxy::handle_vm_loss(const vm_id& vm, proxy_output& out) {
     gateway_.on_vm_lost(vm);
     owner_.forget(vm, out);
 }
 
-void session_proxy::follow_configuration(time_point now, proxy_output& out) {
+void session_proxy::apply_configuration(time_point now, proxy_output& out) {
     if (configuration_.present() == applied_revision_) {
         return;
     }
@@ -185,7 +185,7 @@
     limiter_.configure(now, state_.configuration->organisations, applied_revision_, out.common);
 }
 
-void session_proxy::follow_fleet(time_point now, proxy_output& out) {
+void session_proxy::apply_membership(time_point now, proxy_output& out) {
     if (members_.version() == fleet_version_) {
         return;
     }
@@ -194,7 +194,7 @@
     state_.fleet_version = fleet_version_;
     for (const auto& vm : before) {
         if (vm.vm != settings_.self.vm && state_.find_vm(vm.vm) == nullptr) {
-            vm_lost(vm.vm, out);
+            handle_vm_loss(vm.vm, out);
         }
     }
     for (const auto& [backend, entry] : state_.directory.entries()) {
@@ -208,10 +208,10 @@
     std::vector<vm_entry> staying;
     std::copy_if(state_.live.begin(), state_.live.end(), std::back_inserter(staying),
                  [](const vm_entry& vm) { return vm.state == vm_state::live; });
-    // Ranks as the readers of the registry are ranked, so that the duty holder is one of them.
+    // Uses the ranking of the registry readers, so that the coordinator is one of them.
     const auto ranked = rank_vms(group_observer::task, staying);
-    const auto own = std::find(ranked.begin(), ranked.end(), settings_.self.vm);
-    duty_rank_ = static_cast<std::size_t>(own - ranked.begin());
+    const auto own_rank = std::find(ranked.begin(), ranked.end(), settings_.self.vm);
+    coordinator_rank_ = static_cast<std::size_t>(own_rank - ranked.begin());
     log(out.common, "fleet", log_level::info,
         "version=" + std::to_string(fleet_version_) +
             " live=" + std::to_string(state_.live.size()) + " gone=" + std::to_string(gone.size()));
@@ -235,7 +235,8 @@
     if (stopped_ || !executor_.left(now)) {
         return;
     }
-    if (!limiter_.left() && executor_.sessions() == 0 && now < return_at_ + return_limit) {
+    if (!limiter_.left() && executor_.sessions() == 0 &&
+        now < leave_started_ + share_return_timeout) {
         return;
     }
     stopped_ = true;
@@ -273,89 +274,88 @@
         json["fleet"].append(to_json(vm));
     }
     for (const auto& [group, leadership] : state_.leaderships) {
-        auto& own = json["groups"][group.str()];
-        own["term"] = to_json(leadership.term());
-        own["primary"] = leadership.primary() ? leadership.primary()->str() : "";
+        auto& group_json = json["groups"][group.str()];
+        group_json["term"] = to_json(leadership.term());
+        group_json["primary"] = leadership.primary() ? leadership.primary()->str() : "";
     }
     return json;
 }
 
-// Events.
-
-void session_proxy::on(time_point now, const session_started& what, proxy_output& out) {
-    executor_.on(now, what, out);
+void session_proxy::on(time_point now, const session_started& input, proxy_output& out) {
+    executor_.on(now, input, out);
 }
 
-void session_proxy::on(time_point now, const statement_received& what, proxy_output& out) {
-    executor_.on(now, what, out);
+void session_proxy::on(time_point now, const statement_received& input, proxy_output& out) {
+    executor_.on(now, input, out);
 }
 
-void session_proxy::on(time_point now, const session_broken& what, proxy_output& out) {
-    executor_.on(now, what, out);
+void session_proxy::on(time_point now, const session_broken& input, proxy_output& out) {
+    executor_.on(now, input, out);
 }
 
-void session_proxy::on(time_point now, const session_closed& what, proxy_output& out) {
-    executor_.on(now, what, out);
+void session_proxy::on(time_point now, const session_closed& input, proxy_output& out) {
+    executor_.on(now, input, out);
 }
 
-void session_proxy::on(time_point now, const member_ready& what, proxy_output& out) {
-    if (!observer_.on_ready(now, what, out)) {
-        backends_.on_ready(now, what, out);
+void session_proxy::on(time_point now, const member_ready& input, proxy_output& out) {
+    if (!observer_.on_ready(now, input, out)) {
+        backends_.on_ready(now, input, out);
     }
 }
 
-void session_proxy::on(time_point now, const member_closed& what, proxy_output& out) {
-    if (!observer_.on_closed(now, what, out)) {
-        backends_.on_closed(now, what, out);
+void session_proxy::on(time_point now, const member_closed& input, proxy_output& out) {
+    if (!observer_.on_closed(now, input, out)) {
+        backends_.on_closed(now, input, out);
     }
 }
 
-void session_proxy::on(time_point now, const member_replied& what, proxy_output& out) {
-    if (!observer_.on_reply(now, what, out)) {
-        backends_.on_reply(now, what, out);
+void session_proxy::on(time_point now, const member_replied& input, proxy_output& out) {
+    if (!observer_.on_reply(now, input, out)) {
+        backends_.on_reply(now, input, out);
     }
 }
 
-void session_proxy::on(time_point now, const promotion_answered& what, proxy_output& out) {
-    promotion_.on_promotion(now, what, out);
+void session_proxy::on(time_point now, const promotion_answered& input, proxy_output& out) {
+    coordinator_.on_promotion(now, input, out);
 }
 
-void session_proxy::on(time_point now, const store_answer& what, proxy_output& out) {
-    if (what.status != store_status::unavailable) {
+void session_proxy::on(time_point now, const store_answer& input, proxy_output& out) {
+    if (input.status != store_status::unavailable) {
         members_.on_store_heard(now);
     }
-    if (!members_.on_store(now, what, out.common) &&
-        !configuration_.on_store(now, what, out.common) &&
-        !limiter_.on_store(now, what, out.common) && !registration_.on_store(now, what) &&
-        !duty_.on_store(now, what, out.common) && !observer_.on_store(now, what, out)) {
-        log(out.common, "store", log_level::debug, "answer to a call that was given up");
+    if (!members_.on_store(now, input, out.common) &&
+        !configuration_.on_store(now, input, out.common) &&
+        !limiter_.on_store(now, input, out.common) && !registration_.on_store(now, input) &&
+        !coordinator_lease_.on_store(now, input, out.common) &&
+        !observer_.on_store(now, input, out)) {
+        log(out.common, "store", log_level::debug, "answer to a store request that was abandoned");
     }
 }
 
-void session_proxy::on(time_point now, const peer_received& what, proxy_output& out) {
-    std::visit([&](const auto& message) { receive(now, what, message, out); }, what.message);
+void session_proxy::on(time_point now, const peer_received& input, proxy_output& out) {
+    std::visit([&](const auto& message) { receive(now, input, message, out); }, input.message);
 }
 
-void session_proxy::on(time_point now, const peer_disconnected& what, proxy_output& out) {
-    members_.on_disconnected(now, what.vm, out.common);
-    vm_lost(what.vm, out);
+void session_proxy::on(time_point now, const peer_disconnected& input, proxy_output& out) {
+    members_.on_disconnected(now, input.vm, out.common);
+    handle_vm_loss(input.vm, out);
 }
 
-void session_proxy::on(time_point now, const stop_requested& /*what*/, proxy_output& out) {
+void session_proxy::on(time_point now, const stop_requested& /*input*/, proxy_output& out) {
     if (std::exchange(leaving_, true)) {
         return;
     }
     log(out.common, "proxy", log_level::info,
         "leaving sessions=" + std::to_string(executor_.sessions()));
-    return_at_ = now;
-    duty_.leave(out.common);
+    leave_started_ = now;
+    coordinator_lease_.leave(out.common);
     registration_.leave(out.common);
     members_.leave(now, out.common);
     limiter_.leave(now, out.common);
     executor_.leave(now);
 }
 
-void session_proxy::on(time_point /*now*/, const timer_tick& /*what*/, proxy_output& /*out*/) {}
+void session_proxy::on(time_point /*now*/, const timer_tick& /*input*/, proxy_output& /*out*/) {}
 
 void session_proxy::receive(time_point now, const peer_received& from,
                             const membership_probe& message, proxy_output& out) {
--- a/tests/core/session_proxy_test.cpp
+++ b/tests/core/session_proxy_test.cpp
@@ -25,7 +25,7 @@
                        [](const auto& each) { return std::holds_alternative<stopped>(each); });
 }
 
-/// Guards against a caller that is let in while the process ends and gets no answer (kdrp-vane
+/// Guards against a session that is accepted while the process exits and gets no answer (kdrp-vane
 /// scale-1, seed 234482332935).
 TEST(SessionProxy, RefusesSessionsAfterItHasStopped) {
     session_proxy proxy{settings()};
@@ -33,8 +33,8 @@
     int now = 1000;
     proxy.handle(at(now), timer_tick{}, out);
     proxy.handle(at(now), stop_requested{}, out);
-    constexpr int longest_stop = 20'000; // ms
-    while (!has_stopped(out) && now < longest_stop) {
+    constexpr int stop_timeout_ms = 20'000;
+    while (!has_stopped(out) && now < stop_timeout_ms) {
         now += 50;
         proxy.handle(at(now), timer_tick{}, out);
     }
