--- a/include/jackdawvane/limits/fair_queue.hpp
+++ b/include/jackdawvane/limits/fair_queue.hpp
@@ -21,7 +21,7 @@
 ///
 /// An organisation whose turn comes gains credit of `weight * quantum` and is served while its
 /// credit covers the cost of its oldest entry. An organisation without entries keeps no credit.
-/// @tparam Item what is queued; movable
+/// @tparam Item type of the queued items; movable
 template <class Item>
 class fair_queue {
   public:
@@ -42,12 +42,12 @@
     /// @brief Queues @a item.
     /// @param weight weight of the organisation from now on, at least 1
     /// @param cost cost in units of `quantum`
-    /// @return false when the organisation's part is full (`queue_full`) or the id is taken
+    /// @return false if the organisation's queue is full (`queue_full`) or the id is already queued
     /// @complexity O(log n) for the deadline index, else O(1)
     [[nodiscard]] bool push(request_id id, const organisation_id& organisation,
                             std::uint32_t weight, std::uint32_t cost, time_point deadline,
                             Item item) {
-        auto& own = lanes_[organisation];
+        auto& own = queues_[organisation];
         if (own.entries.size() >= limit_ || index_.contains(id)) {
             drop_if_empty(organisation);
             return false;
@@ -63,13 +63,13 @@
         return true;
     }
 
-    /// @brief Next entry whose deadline is after @a now.
+    /// @brief Removes and returns the next entry whose deadline is after @a now.
     ///
-    /// Expired entries are left for `expire`, which the caller runs first.
+    /// Expired entries are kept for `expire`, which the caller runs first.
     /// @complexity O(1) amortised when no cost exceeds the weight, plus the deadline index
     [[nodiscard]] std::optional<entry> pop(time_point now) {
         while (!turns_.empty()) {
-            auto& own = lanes_.at(turns_.front());
+            auto& own = queues_.at(turns_.front());
             const auto& oldest = own.entries.front();
             if (oldest.value.deadline <= now) {
                 expired_.push_back(extract(index_.at(oldest.value.id)));
@@ -101,13 +101,14 @@
         return removed;
     }
 
-    /// @brief Removes the entry @a id, for example when its caller is gone.
+    /// @brief Removes the entry @a id, for example when its caller has disconnected.
     [[nodiscard]] std::optional<entry> remove(request_id id) {
         const auto found = index_.find(id);
         return found == index_.end() ? std::nullopt : std::optional{extract(found->second)};
     }
 
-    /// @brief Earliest deadline of a queued entry; due at once while `expire` has entries ready.
+    /// @brief Earliest deadline of a queued entry; `time_point::min()` while `expire` has entries
+    /// ready.
     [[nodiscard]] time_point next_deadline() const noexcept {
         if (!expired_.empty()) {
             return time_point::min();
@@ -120,8 +121,8 @@
 
     /// @brief Entries of @a organisation.
     [[nodiscard]] std::size_t size_of(const organisation_id& organisation) const {
-        const auto found = lanes_.find(organisation);
-        return found == lanes_.end() ? 0 : found->second.entries.size();
+        const auto found = queues_.find(organisation);
+        return found == queues_.end() ? 0 : found->second.entries.size();
     }
 
   private:
@@ -131,40 +132,41 @@
     };
     using position = typename std::list<queued>::iterator;
 
-    struct lane {
+    struct organisation_queue {
         std::list<queued> entries; ///< Oldest first.
         std::uint32_t weight{1};
         std::uint64_t credit{0};
-        bool in_turn{false}; ///< Has got its credit for the present turn.
+        bool in_turn{false}; ///< Whether the credit of the current turn was added.
         std::list<organisation_id>::iterator turn;
     };
 
     entry extract(position at) {
         auto taken = std::move(at->value);
-        auto& own = lanes_.at(taken.organisation);
+        auto& own = queues_.at(taken.organisation);
         index_.erase(taken.id);
         deadlines_.erase({taken.deadline, taken.id});
         own.entries.erase(at);
         if (own.entries.empty()) {
             turns_.erase(own.turn);
-            lanes_.erase(taken.organisation);
+            queues_.erase(taken.organisation);
         }
         return taken;
     }
 
     void drop_if_empty(const organisation_id& organisation) {
-        const auto found = lanes_.find(organisation);
-        if (found != lanes_.end() && found->second.entries.empty()) {
-            lanes_.erase(found);
+        const auto found = queues_.find(organisation);
+        if (found != queues_.end() && found->second.entries.empty()) {
+            queues_.erase(found);
         }
     }
 
     std::size_t limit_;
-    std::unordered_map<organisation_id, lane> lanes_; ///< Organisations with entries.
-    std::list<organisation_id> turns_;                ///< Organisation in turn first.
+    /// Organisations with entries.
+    std::unordered_map<organisation_id, organisation_queue> queues_;
+    std::list<organisation_id> turns_; ///< Front: the organisation whose turn it is.
     std::unordered_map<request_id, position> index_;
     std::set<std::pair<time_point, request_id>> deadlines_;
-    std::vector<entry> expired_; ///< Met by `pop`, not yet handed out.
+    std::vector<entry> expired_; ///< Found by `pop`, not yet returned by `expire`.
 };
 
 } // namespace jackdawvane
--- a/include/jackdawvane/limits/token_bucket.hpp
+++ b/include/jackdawvane/limits/token_bucket.hpp
@@ -15,7 +15,7 @@
     /// Tokens above the new capacity are dropped. Added capacity starts empty.
     void set_limits(time_point now, double rate, double capacity);
 
-    /// @brief Takes @a amount tokens if there are as many.
+    /// @brief Takes @a amount tokens if the bucket has that many.
     [[nodiscard]] bool take(time_point now, double amount);
 
     /// @brief Subtracts up to @a amount tokens and reserves capacity for them while in transit.
@@ -28,10 +28,10 @@
     /// @brief Adds tokens from another VM, up to the free capacity; drops the rest.
     void add(time_point now, double amount);
 
-    /// @brief Tokens at @a now.
     [[nodiscard]] double tokens(time_point now) const noexcept;
 
-    /// @brief Time at which @a amount tokens are there, if nothing takes any; or `no_deadline`.
+    /// @brief Time at which @a amount tokens are available if none are taken before, or
+    /// `no_deadline`.
     [[nodiscard]] time_point time_of(time_point now, double amount) const noexcept;
 
     [[nodiscard]] double rate() const noexcept { return rate_; }
--- a/src/core/limits/token_bucket.cpp
+++ b/src/core/limits/token_bucket.cpp
@@ -44,7 +44,7 @@
 }
 
 void token_bucket::settle(time_point now, double amount) {
-    refill(now); // Time before this moment counts against the smaller room.
+    refill(now); // The refill up to now is limited to the capacity without the reservation.
     reserved_ = std::max(0.0, reserved_ - amount);
 }
 
--- a/tests/core/fair_queue_test.cpp
+++ b/tests/core/fair_queue_test.cpp
@@ -18,7 +18,7 @@
 const organisation_id big{"big"};
 const organisation_id small{"small"};
 
-/// Guards against a weight or cost that does not count.
+/// Guards against a weight or cost that is ignored.
 TEST(FairQueue, ServesByWeightAndCost) {
     fair_queue<int> queue{100};
     for (std::uint64_t i = 1; i <= 40; ++i) {
@@ -69,7 +69,7 @@
     EXPECT_TRUE(queue.expire(start).empty());
 }
 
-/// Single bounded queue in order of arrival, as the simplest design would have it.
+/// Baseline: a single bounded queue in order of arrival.
 class global_fifo {
   public:
     bool push(request_id id, const organisation_id& organisation, std::uint32_t /*weight*/,
@@ -93,8 +93,8 @@
     std::deque<fair_queue<int>::entry> waiting_;
 };
 
-/// Served part of the offered requests of the worst-served of 7 organisations, next to an eighth
-/// that sends @a factor times its part of a server with one slot.
+/// Served fraction of the offered requests of the worst-served of 7 organisations, while an eighth
+/// sends @a factor times its share of a server with one slot.
 template <class Queue>
 double worst_service(Queue queue, double factor) {
     constexpr int organisations = 8;
@@ -124,8 +124,8 @@
     return worst;
 }
 
-/// Guards against an organisation at 5 times its part that takes service from the others; the
-/// single queue shows that the load would do so.
+/// Guards against an organisation at 5 times its share that reduces the service of the others; the
+/// single queue shows that this load can do so.
 TEST(FairQueue, KeepsTheServiceOfOthersUnderOverloadUnlikeOneGlobalQueue) {
     const double fair =
         worst_service(fair_queue<int>{10}, 5) / worst_service(fair_queue<int>{10}, 0.9);
--- a/tests/core/token_bucket_test.cpp
+++ b/tests/core/token_bucket_test.cpp
@@ -9,7 +9,7 @@
     return time_point{from_milliseconds(milliseconds)};
 }
 
-/// Guards against a new holder that starts with tokens nobody gave it.
+/// Guards against a new holder that starts with tokens that were never granted to it.
 TEST(TokenBucket, StartsEmptyAndRefillsUpToItsCapacity) {
     token_bucket bucket;
     bucket.set_limits(at(0), 10, 5);
@@ -20,7 +20,7 @@
     EXPECT_EQ(bucket.time_of(at(5000), 6), no_deadline);
 }
 
-/// Guards against a donor that refills the place of tokens in transit, which exceeds the burst.
+/// Guards against a donor that refills the capacity of tokens in transit: the burst is exceeded.
 TEST(TokenBucket, TokensInTransitOccupyCapacity) {
     token_bucket bucket;
     bucket.set_limits(at(0), 10, 5);
