--- a/include/jackdawvane/limits/admission.hpp
+++ b/include/jackdawvane/limits/admission.hpp
@@ -5,10 +5,10 @@
 
 namespace jackdawvane {
 
-/// @brief Verdict of the rate limit on one request.
+/// @brief Decision of the rate limiter on a request.
 enum class admission_state { admitted, refused, pending };
 
-/// @brief Verdict of the rate limit, at once or later.
+/// @brief Decision on a request, immediate or after a wait.
 struct admission {
     request_id handle;
     admission_state state{admission_state::pending};
--- a/include/jackdawvane/limits/limiter_context.hpp
+++ b/include/jackdawvane/limits/limiter_context.hpp
@@ -16,18 +16,21 @@
     duration pending{std::chrono::milliseconds{50}}; ///< Longest wait for tokens of other VMs.
     duration joining{
         std::chrono::milliseconds{50}}; ///< As `pending`, before the share is confirmed.
-    /// Whether a request may also wait for the own share to refill.
+    /// Whether a request may also wait for this VM's share to refill.
     bool waits_for_own_share{false};
-    duration grant_validity{std::chrono::milliseconds{150}}; ///< Grants are accepted this long.
+    /// Grants are accepted this long after the request.
+    duration grant_validity{std::chrono::milliseconds{150}};
     duration lease{std::chrono::seconds{30}};
     duration lease_renewal{std::chrono::seconds{10}};
     duration share_interval{std::chrono::seconds{1}}; ///< Between requests for more rate.
-    /// Groups of organisations that are divided alike, the same at all VMs. Store calls grow with
-    /// the groups, the load of a holder with the organisations in each.
+    /// Number of share groups, which has to be the same at all VMs. Store calls grow with the
+    /// number of groups, the load of a holder with the number of organisations in each.
     std::uint32_t groups{16};
     std::uint32_t holders_per_domain{3};
-    std::uint32_t most_holders{std::numeric_limits<std::uint32_t>::max()}; ///< Over all domains.
-    double messages_per_second{30}; ///< Token requests in vain per organisation; bounds overload.
+    /// Over all failure domains.
+    std::uint32_t most_holders{std::numeric_limits<std::uint32_t>::max()};
+    /// Token requests per organisation that yield no tokens; bounds the messages under overload.
+    double messages_per_second{30};
     share_settings shares;
 
     static constexpr auto fields() {
@@ -47,11 +50,11 @@
     }
 };
 
-/// @brief What the limiters of all organisations at one VM have in common.
+/// @brief State common to the limiters of all organisations at one VM.
 struct limiter_context : share_context {
     location place;
     rate_limiter_settings limits;
-    std::vector<admission> decisions; ///< Results of pending requests, not yet handed out.
+    std::vector<admission> decisions; ///< Results of pending requests, not yet collected.
 };
 
 } // namespace jackdawvane
--- a/include/jackdawvane/limits/rate_limiter.hpp
+++ b/include/jackdawvane/limits/rate_limiter.hpp
@@ -16,14 +16,14 @@
 
 /// @brief Enforces the organisations' fleet-wide rates at one VM.
 ///
-/// The organisations are divided into groups. A VM holds parts of a few groups, has limiters for
-/// the organisations of these and for those that its callers belong to, and touches only the
-/// limiters that an event concerns.
+/// The organisations are divided into groups. A VM holds parts of a few groups. It has limiters for
+/// the organisations of these groups and for those of its callers, and an event updates only the
+/// limiters that it concerns.
 ///
-/// After every call the host side takes the results of pending requests with `take_decisions`.
+/// After every call the host collects the results of pending requests with `take_decisions`.
 class rate_limiter {
   public:
-    /// @param ids shared with the other parts that call the store; outlives this object
+    /// @param ids shared with the other components that call the store; outlives this object
     /// @param random outlives this object
     rate_limiter(vm_id self, vm_incarnation incarnation, location place,
                  rate_limiter_settings settings, id_sequence<request_id>& ids,
@@ -33,33 +33,34 @@
     void configure(time_point now, const std::map<organisation_id, organisation_row>& rows,
                    revision newer, actions& out);
 
-    /// @brief Tells which VMs live, and which are gone for good.
-    /// @param live VMs that are believed to be alive, with this one once it is listed
-    /// @param gone VMs that the platform listed and then stopped listing, and that no peer hears
+    /// @brief Sets which VMs are live, and which have left the fleet for good.
+    /// @param live VMs that are considered alive, including this one once it is listed
+    /// @param gone VMs that the platform listed and then stopped listing, and that no peer receives
+    /// messages from
     void set_fleet(time_point now, std::span<const vm_entry> live, const std::set<vm_id>& gone,
                    actions& out);
 
     /// @brief Decides on one request.
-    /// @param handle names the request in `take_decisions` and `withdraw`
+    /// @param handle identifies the request in `take_decisions` and `withdraw`
     /// @param deadline the request waits no longer than this
     [[nodiscard]] admission admit(time_point now, const organisation_id& organisation,
                                   request_id handle, time_point deadline, actions& out);
-    /// @brief Forgets a pending request whose caller is gone.
+    /// @brief Drops a pending request whose caller has disconnected.
     void withdraw(request_id handle);
     /// @brief Results of requests that were pending.
     [[nodiscard]] std::vector<admission> take_decisions();
 
-    /// @return whether the message was for this part
+    /// @return whether the message was for this component
     bool on_peer(time_point now, const vm_id& from, const peer_message& message, actions& out);
-    /// @return whether the answer belongs to a call of this part
+    /// @return whether the answer belongs to a call of this component
     [[nodiscard]] bool on_store(time_point now, const store_answer& answer, actions& out);
 
-    /// @brief The VM was paused. Comes before any other event after the pause.
+    /// @brief Called when the VM resumes after a pause, before any other event.
     ///
-    /// If the lease may have expired, no share is used until the lease is renewed and the own
+    /// If the lease may have expired, no share is used until the lease is renewed and this VM's
     /// entry is confirmed in the record.
     void paused(time_point now, actions& out);
-    /// @brief Gives all shares and the lease back.
+    /// @brief Releases all shares and the lease.
     void leave(time_point now, actions& out);
     /// @brief Whether `leave` has finished.
     [[nodiscard]] bool left() const noexcept;
@@ -68,9 +69,10 @@
     /// @brief When `tick` is due; depends on the time of the last event.
     [[nodiscard]] time_point next_deadline() const;
 
-    /// @brief Limiter of @a organisation, or null when neither callers nor a share needed it yet.
+    /// @brief Limiter of @a organisation, or null if neither a caller nor a share has needed it
+    /// yet.
     [[nodiscard]] const organisation_limiter* find(const organisation_id& organisation) const;
-    /// @brief Group of @a organisation, or null when none of its group is in the configuration.
+    /// @brief Group of @a organisation, or null if no configuration has had an organisation of it.
     [[nodiscard]] const share_group* find_group(const organisation_id& organisation) const;
     /// @brief Shares and tokens per organisation, as of the last event.
     [[nodiscard]] Json::Value describe() const;
@@ -80,17 +82,17 @@
     struct organisation_state {
         organisation_limiter limiter;
         group_state& group;
-        time_point due{no_deadline}; ///< Its entry in `organisations_due_`.
+        time_point due{no_deadline}; ///< Key of its entry in `organisations_due_`.
     };
     struct group_state {
         share_group share;
-        std::vector<organisation_state*> members; ///< Those with a limiter here.
+        std::vector<organisation_state*> members; ///< Organisations with a limiter at this VM.
         std::size_t configured{0};                ///< Organisations in the configuration.
         time_point due{no_deadline};
     };
 
     struct configured_organisation {
-        share_limits whole;
+        share_limits fleet_limits;
         group_state* group{nullptr};
     };
     using row_map = std::unordered_map<organisation_id, configured_organisation>;
@@ -100,23 +102,25 @@
     [[nodiscard]] bool needs_lease() const noexcept;
 
     group_state& group_of(const organisation_id& organisation);
-    organisation_state* obtain(time_point now, const organisation_id& organisation,
-                               time_point started, actions& out);
-    void apply(time_point now, const organisation_id& organisation, share_limits whole,
+    organisation_state* find_or_create(time_point now, const organisation_id& organisation,
+                                       time_point started, actions& out);
+    void apply(time_point now, const organisation_id& organisation, share_limits fleet_limits,
                actions& out);
     row_map::iterator remove(time_point now, row_map::iterator row, actions& out);
-    void settle(time_point now, group_state& group, actions& out);
-    void settle_all(time_point now, actions& out);
-    void follow(time_point now, group_state& group, actions& out);
+    void refresh_group(time_point now, group_state& group, actions& out);
+    void refresh_all_groups(time_point now, actions& out);
+    void refresh_members(time_point now, group_state& group, actions& out);
     void summarise_groups();
-    void create_held(time_point now, group_state& group, time_point started, actions& out);
+    void create_held_limiters(time_point now, group_state& group, time_point started, actions& out);
     void reschedule(time_point now, organisation_state& entry);
     [[nodiscard]] std::uint32_t spare_part(time_point now, const group_state& group,
                                            double lacking) const;
-    void take(time_point now, const vm_id& from, const share_request& message, actions& out);
-    void take(time_point now, const vm_id& from, const share_notice& message, actions& out);
+    void handle_message(time_point now, const vm_id& from, const share_request& message,
+                        actions& out);
+    void handle_message(time_point now, const vm_id& from, const share_notice& message,
+                        actions& out);
     template <class Message>
-    void take(time_point now, const vm_id& from, const Message& message, actions& out);
+    void handle_message(time_point now, const vm_id& from, const Message& message, actions& out);
 
     limiter_context context_;
     row_map rows_;
@@ -127,11 +131,11 @@
     time_point groups_due_{no_deadline};
     bool holder_{false}; ///< Whether this VM holds a part of any group.
     revision revision_;
-    time_point configured_at_{}; ///< When the first configuration came.
+    time_point configured_at_{}; ///< When the first configuration arrived.
     time_point now_{};
     time_point lease_at_{};
     request_id lease_call_;
-    std::set<request_id> abandoned_; ///< Renewals from before a pause.
+    std::set<request_id> abandoned_; ///< Lease calls from before a pause; answers are ignored.
     time_point lease_sent_{};
     time_point lease_until_{time_point::min()}; ///< The store keeps the lease until then.
     bool lease_pending_{false};
--- a/include/jackdawvane/limits/share_group.hpp
+++ b/include/jackdawvane/limits/share_group.hpp
@@ -13,7 +13,8 @@
 
 struct limiter_context;
 
-/// @brief Part of a group of organisations' rates that this VM holds, and who holds the others.
+/// @brief This VM's part of the rates of a group of organisations, and the holders of the other
+/// parts.
 ///
 /// The parts apply to every organisation of the group alike, so one store record serves them all.
 class share_group {
@@ -21,34 +22,35 @@
     /// @param context outlives this object
     share_group(share_group_id id, limiter_context& context);
 
-    /// @brief The group has organisations in the configuration.
+    /// @brief Called when the group gets its first organisation in the configuration.
     void activate(time_point now, actions& out);
-    /// @brief The fleet in the context has changed.
+    /// @brief Called after the fleet in the context has changed.
     void fleet_changed(time_point now, actions& out);
     /// @return whether the answer belongs to a call of this group
     bool on_store(time_point now, const store_answer& answer, actions& out);
     void on_notice(time_point now, const share_notice& notice, actions& out);
     void paused(time_point now, actions& out);
-    /// @brief Gives the own part back.
+    /// @brief Releases this VM's part.
     void leave(time_point now, actions& out);
     void tick(time_point now, actions& out);
 
-    /// @brief Moves @a part of the own share to @a receiver, at most once in some seconds.
-    /// @return whether the move was started
-    bool give(time_point now, const vm_id& receiver, std::uint32_t part, actions& out);
+    /// @brief Starts to transfer @a part of this VM's share to @a receiver, at most once in a few
+    /// seconds.
+    /// @return whether the transfer was started
+    bool start_transfer(time_point now, const vm_id& receiver, std::uint32_t part, actions& out);
 
-    /// @brief Whether the own part or the other holders have changed since the last call.
+    /// @brief Whether this VM's part or the candidates have changed since the last call.
     [[nodiscard]] bool take_changed();
 
     [[nodiscard]] time_point next_deadline() const noexcept { return ledger_.next_deadline(); }
     [[nodiscard]] const share_ledger& ledger() const noexcept { return ledger_; }
-    /// @brief Other VMs that hold parts or shall hold them.
+    /// @brief Other live VMs that hold parts or are targets.
     [[nodiscard]] std::span<const token_donors::candidate> candidates() const noexcept {
         return candidates_;
     }
 
   private:
-    [[nodiscard]] std::vector<vm_id> chosen_holders() const;
+    [[nodiscard]] std::vector<vm_id> select_holders() const;
     [[nodiscard]] std::vector<token_donors::candidate> find_candidates() const;
 
     share_group_id id_;
@@ -56,9 +58,9 @@
     share_ledger ledger_;
     std::vector<token_donors::candidate> candidates_;
     std::uint32_t part_{0}; ///< Usable part at the last `take_changed`.
-    bool verified_{false};  ///< As `part_`.
-    bool holder_{false};    ///< As `part_`.
-    time_point last_gift_{-std::chrono::hours{1}};
+    bool verified_{false};  ///< At the last `take_changed`.
+    bool holder_{false};    ///< At the last `take_changed`.
+    time_point last_transfer_{-std::chrono::hours{1}};
 };
 
 } // namespace jackdawvane
--- a/include/jackdawvane/limits/share_ledger.hpp
+++ b/include/jackdawvane/limits/share_ledger.hpp
@@ -19,17 +19,19 @@
 
 namespace jackdawvane {
 
-/// @brief Times of the share ledger.
+/// @brief Intervals and delays of the share ledger.
 struct share_settings {
-    duration refresh{std::chrono::seconds{90}};           ///< Mean time between record reads.
-    duration join_spread{std::chrono::milliseconds{300}}; ///< Spreads joins to avoid conflicts.
+    duration refresh{std::chrono::seconds{90}}; ///< Mean time between record reads.
+    /// Joins are spread at random over this time to avoid conflicts.
+    duration join_spread{std::chrono::milliseconds{300}};
     /// A VM without an entry in the record joins once the targets have not changed for this time.
     duration join_settle{0};
-    duration takeover_step{std::chrono::seconds{2}}; ///< Wait per rank for shared work.
-    /// A VM that is no target any more gives its part back after this time. Other VMs do not ask
-    /// it for tokens, so its part is out of use meanwhile.
+    duration takeover_step{std::chrono::seconds{2}}; ///< Delay per rank before shared work is done.
+    /// A VM that is no longer a target releases its part after this time. Other VMs do not ask it
+    /// for tokens, so its part is unused until then.
     duration return_after{std::chrono::seconds{90}};
-    /// From the last use of a part until it may be another's: tokens in transit settle first.
+    /// Time from the last use of a part until another VM may hold it: tokens in transit settle
+    /// first.
     duration settle{std::chrono::milliseconds{500}};
     duration shortest_retry{std::chrono::milliseconds{500}};
     duration longest_retry{std::chrono::seconds{15}};
@@ -46,59 +48,63 @@
     }
 };
 
-/// @brief What the ledgers of all share groups at one VM have in common.
+/// @brief State common to the ledgers of all share groups at one VM.
 struct share_context {
     vm_id self;
     vm_incarnation incarnation;
     share_settings settings;
     id_sequence<request_id>& ids;
     random_engine& random;
-    std::map<vm_id, vm_entry> live; ///< VMs that are believed to be alive.
-    std::set<vm_id> gone;           ///< Listed once, no longer listed, and heard by no peer.
-    bool lease_renewed{false};      ///< Since the last pause past the lease.
+    std::map<vm_id, vm_entry> live; ///< VMs that are considered alive.
+    std::set<vm_id> gone;      ///< VMs that were listed once, are no longer, and reach no peer.
+    bool lease_renewed{false}; ///< Since the last pause past the lease.
 };
 
 /// @brief This VM's view of one group's share record, and its changes to it.
 ///
-/// Why the used parts never exceed the whole: the record's parts sum to at most the whole. A
-/// holder uses at most the part in the last record that it has seen, and at most its part in each
-/// change of its own whose answer is outstanding or lost. Other VMs only raise a holder's part, or
-/// remove a holder that is gone. So each holder uses at most its part in the present record.
+/// The parts in use never exceed the whole: the parts in the record sum to at most the whole. A
+/// holder uses at most its part in the last record that it has seen, and at most its part in each
+/// of its own changes whose answer is outstanding or lost. Other VMs only raise a holder's part, or
+/// remove a holder that is gone. So each holder uses at most its part in the current record.
 ///
-/// Why a reclaimed part is not used: a reclaimer finds the lease expired after it has seen version
-/// v of the record, and writes on version v only. A holder that was paused past its lease renews
-/// the lease, then writes the record unchanged, and only then uses its part. If that write comes
-/// first, the reclaimer's fails and its next look at the lease finds it renewed. Reading alone
-/// would not do: the reclaimer's write could follow the holder's read.
+/// A reclaimed part is not used by its former holder: a reclaimer finds the lease expired after it
+/// has seen version v of the record, and its write succeeds on version v only. A holder that was
+/// paused past its lease renews the lease, then writes the record unchanged, and only then uses its
+/// part. If that write comes first, the reclaimer's write fails and its next read of the lease
+/// finds it renewed. A read instead of the holder's write is not enough: the reclaimer's write
+/// could follow it.
 ///
-/// Why the used rates never exceed the rate: a holder uses its part of the rate in the newest
-/// configuration that it has seen. As the parts sum to at most the whole, the sum is at most the
-/// highest rate among the revisions that some holder still takes for the newest.
+/// The rates in use never exceed the configured rate: a holder uses its part of the rate in the
+/// newest configuration that it has seen. As the parts sum to at most the whole, the sum of the
+/// rates is at most the highest rate among the revisions that some holder still considers the
+/// newest.
 class share_ledger {
   public:
     /// @param context outlives this object
     share_ledger(share_group_id group, share_context& context);
 
-    /// @brief The group has organisations in the configuration.
+    /// @brief Called when the group gets its first organisation in the configuration.
     void activate(time_point now, actions& out);
 
-    /// @brief VMs that shall hold shares; the fleet in the context may have changed as well.
+    /// @brief Sets the VMs that should hold shares; the fleet in the context may have changed as
+    /// well.
     void set_targets(time_point now, std::vector<vm_id> targets, actions& out);
 
-    /// @brief Another VM says that the record has got a new version.
+    /// @brief Handles another VM's notice of a new version of the record.
     void on_notice(time_point now, const share_notice& notice, actions& out);
 
     /// @return whether the answer belongs to a call of this ledger
     bool on_store(time_point now, const store_answer& answer, actions& out);
 
-    /// @brief Moves @a part of the own share to @a receiver; lowers the own part at once.
-    /// @return whether the move was started
-    bool give(time_point now, const vm_id& receiver, std::uint32_t part, actions& out);
+    /// @brief Starts to transfer @a part of this VM's share to @a receiver; lowers this VM's
+    /// part at once.
+    /// @return whether the transfer was started
+    bool start_transfer(time_point now, const vm_id& receiver, std::uint32_t part, actions& out);
 
-    /// @brief The VM was paused past its lease: uses nothing until its entry is confirmed.
+    /// @brief The VM was paused past its lease: its share is unusable until its entry is confirmed.
     void paused(time_point now, actions& out);
 
-    /// @brief Gives the own part back.
+    /// @brief Releases this VM's part.
     void leave(time_point now, actions& out);
 
     void tick(time_point now, actions& out);
@@ -106,16 +112,16 @@
 
     /// @brief Part that this VM may use while `verified`.
     [[nodiscard]] std::uint32_t usable_part() const noexcept;
-    /// @brief The same as a fraction of the whole.
+    /// @brief `usable_part` as a fraction of the whole.
     [[nodiscard]] double usable_fraction() const noexcept;
 
     /// @brief Whether this VM is a holder in the last record that it has seen.
     [[nodiscard]] bool holder() const noexcept;
     /// @brief Whether the share may be used: confirmed since the last pause past the lease.
     [[nodiscard]] bool verified() const noexcept { return verified_; }
-    /// @brief Whether the own part was that of an earlier life of this VM.
+    /// @brief Whether this VM's part was that of an earlier incarnation.
     [[nodiscard]] bool inherited() const noexcept { return inherited_; }
-    /// @brief Whether this VM shall hold a share.
+    /// @brief Whether this VM should hold a share.
     [[nodiscard]] bool target() const noexcept;
     /// @brief Whether `leave` has finished.
     [[nodiscard]] bool left() const noexcept;
@@ -124,11 +130,11 @@
 
   private:
     enum class call_kind { none, read, swap, read_lease };
-    /// Change whose effect is not known: it may still turn the version `base` into the next.
+    /// Change whose outcome is unknown: it may still be applied to version `base` of the record.
     struct proposal {
         std::uint64_t base{0};
         std::uint32_t own_part{0};
-        std::vector<vm_id> notify; ///< VMs that have to read the record if it took effect.
+        std::vector<vm_id> notify; ///< VMs to notify if the change took effect.
     };
     struct transfer {
         vm_id receiver;
@@ -153,21 +159,21 @@
     void drop_outdated(time_point now);
 
     [[nodiscard]] std::optional<share_record> desired(time_point now) const;
-    [[nodiscard]] bool place_self(time_point now, share_record& next) const;
+    [[nodiscard]] bool update_own_entry(time_point now, share_record& next) const;
     [[nodiscard]] bool remove_reclaimed(share_record& next) const;
     [[nodiscard]] bool apply_transfer(share_record& next) const;
     [[nodiscard]] bool all_targets_joined(const share_record& record) const;
     [[nodiscard]] bool superseded() const noexcept;
-    [[nodiscard]] bool wanted(time_point now) const noexcept;
+    [[nodiscard]] bool should_hold_part(time_point now) const noexcept;
     [[nodiscard]] bool waits_to_join() const noexcept;
-    [[nodiscard]] bool uninvolved() const noexcept;
+    [[nodiscard]] bool record_not_needed() const noexcept;
     [[nodiscard]] bool distribution_due(time_point now, const share_record& next) const;
     [[nodiscard]] const share_holder* own_entry() const noexcept;
     [[nodiscard]] const share_holder* lease_to_check() const;
     [[nodiscard]] std::vector<vm_id> affected_by(const share_record& next) const;
-    [[nodiscard]] std::vector<vm_id> strays() const;
+    [[nodiscard]] std::vector<vm_id> non_target_holders() const;
     [[nodiscard]] duration takeover_delay();
-    [[nodiscard]] duration random_part(duration longest);
+    [[nodiscard]] duration random_delay(duration longest);
     void schedule_shared_work(time_point now);
     void notify(const std::vector<vm_id>& vms, actions& out) const;
     void report(actions& out, std::string text, log_level level = log_level::info) const;
@@ -180,13 +186,13 @@
     bool leaving_{false};
 
     share_record record_;
-    share_record proposed_;    ///< Record of the swap in flight.
-    std::uint64_t version_{0}; ///< Version of `record_`.
-    std::uint64_t noticed_{0}; ///< Highest version that another VM reported.
-    bool read_needed_{true};   ///< The present record is not known.
-    bool verified_{false};     ///< The own part may be used.
+    share_record proposed_;             ///< Record of the swap in flight.
+    std::uint64_t version_{0};          ///< Version of `record_`.
+    std::uint64_t notified_version_{0}; ///< Highest version that another VM reported.
+    bool read_needed_{true};            ///< The current record is not known.
+    bool verified_{false};              ///< This VM's part may be used.
     bool inherited_{false};
-    bool confirm_needed_{false}; ///< The own entry has to be written again before it is used.
+    bool confirm_needed_{false}; ///< This VM's entry has to be written again before it is used.
     std::vector<proposal> unresolved_;
     std::optional<transfer> transfer_;
     std::vector<share_holder> expired_; ///< Gone holders whose lease was found expired.
@@ -194,18 +200,18 @@
     call_kind call_kind_{call_kind::none};
     request_id call_id_;
     share_holder lease_subject_;     ///< Holder whose lease the call in flight reads.
-    std::set<request_id> abandoned_; ///< Calls whose answers do not count any more.
+    std::set<request_id> abandoned_; ///< Calls whose answers are ignored.
 
     time_point retry_at_{};
     duration retry_delay_{0};
     time_point refresh_at_{no_deadline};
     time_point join_at_{};
     time_point first_join_at_{}; ///< As `join_at_`, for a VM that has no entry in the record.
-    time_point drained_at_{no_deadline}; ///< When the unwanted own part may be given back.
+    time_point drained_at_{no_deadline}; ///< When an unused part may be released.
     time_point untargeted_since_{no_deadline};
-    time_point incomplete_since_{no_deadline}; ///< Since when a target has not joined.
-    time_point shared_work_at_{no_deadline};   ///< Distribution of what is unassigned.
-    time_point stray_notice_at_{no_deadline};  ///< Notice to holders that are no targets.
+    time_point incomplete_since_{no_deadline}; ///< Since when a target is missing in the record.
+    time_point shared_work_at_{no_deadline};   ///< When to distribute the unassigned part.
+    time_point non_target_notice_at_{no_deadline}; ///< When to notify holders that are not targets.
     time_point lease_check_at_{no_deadline};
 };
 
--- a/include/jackdawvane/limits/share_record.hpp
+++ b/include/jackdawvane/limits/share_record.hpp
@@ -10,16 +10,16 @@
 
 namespace jackdawvane {
 
-/// @brief All of an organisation's rate and burst, in the unit of `share_holder::part`.
+/// @brief An organisation's full rate and burst, in the unit of `share_holder::part`.
 ///
-/// Parts are whole numbers so that their sum is exact after any number of moves.
+/// Parts are integers, so their sum stays exact after any number of transfers.
 inline constexpr std::uint32_t whole_share = 1'000'000;
 
 /// @brief VM incarnation that holds a part of the rates and bursts of a group's organisations.
 struct share_holder {
     vm_id vm;
     vm_incarnation incarnation;
-    std::uint32_t part{0}; ///< Millionths of the rate, and of the burst, which moves with it.
+    std::uint32_t part{0}; ///< Millionths of the rate and of the burst, which move together.
 
     static constexpr auto fields() {
         return std::tuple{field("vm", &share_holder::vm),
@@ -37,9 +37,9 @@
     friend bool operator==(const share_limits&, const share_limits&) = default;
 };
 
-/// @brief Record under `shares/<group>` in the store.
+/// @brief Store record `shares/<group>`: the holders of a group and their parts.
 ///
-/// It names no organisation, so the number of records and of store calls does not depend on how
+/// It lists no organisations, so the numbers of records and of store calls do not depend on how
 /// many there are.
 struct share_record {
     std::vector<share_holder> holders;
@@ -47,9 +47,9 @@
     static constexpr auto fields() { return std::tuple{field("holders", &share_record::holders)}; }
     friend bool operator==(const share_record&, const share_record&) = default;
 
-    /// @brief Part that no holder has.
+    /// @brief Part that is not assigned to any holder.
     [[nodiscard]] std::uint32_t unassigned() const noexcept;
-    /// @brief Entry of @a vm, whatever its incarnation, or null.
+    /// @brief Entry of @a vm in any incarnation, or null.
     [[nodiscard]] const share_holder* find(const vm_id& vm) const noexcept;
     [[nodiscard]] share_holder* find(const vm_id& vm) noexcept;
     /// @brief Removes the entry of @a vm; its part becomes unassigned.
@@ -58,9 +58,10 @@
     void distribute();
 };
 
-/// @brief Group of @a organisation when there are @a groups of them.
+/// @brief Group that @a organisation belongs to, out of @a groups.
 ///
-/// The id contains the number of groups, so fleets that differ in it use separate records.
+/// The id contains the number of groups, so VMs that are configured with different numbers use
+/// separate records.
 [[nodiscard]] share_group_id share_group_of(const organisation_id& organisation,
                                             std::uint32_t groups);
 
--- a/include/jackdawvane/limits/token_donors.hpp
+++ b/include/jackdawvane/limits/token_donors.hpp
@@ -12,73 +12,75 @@
 
 namespace jackdawvane {
 
-/// @brief What a VM knows of the VMs that it asks for tokens of one organisation.
+/// @brief Selects the VMs to ask for tokens of one organisation and tracks the requests in flight.
 ///
-/// One request is outstanding per donor. A donor that had nothing to give is left alone for a
-/// time that doubles, so that an organisation without tokens causes few messages.
+/// At most one request per donor is in flight. A donor that had no tokens is asked again with
+/// exponential backoff, so that an organisation without tokens causes few messages.
 class token_donors {
   public:
-    /// @brief VM that may be asked.
+    /// @brief VM that can be asked for tokens or rate.
     struct candidate {
         vm_id vm;
-        double fraction{0};   ///< Its part of rate and burst, as far as known.
+        double fraction{0};   ///< Its last known fraction of rate and burst.
         double preference{1}; ///< Weight of its estimate; lower for distant VMs.
 
         friend bool operator==(const candidate&, const candidate&) = default;
     };
 
     /// @brief Sets the organisation's rate and burst over the whole fleet.
-    void set_limits(share_limits whole) noexcept { whole_ = whole; }
+    void set_limits(share_limits fleet_limits) noexcept { fleet_limits_ = fleet_limits; }
 
-    /// @brief Candidate that is likely to have most tokens and may be asked now, or null.
+    /// @brief Available candidate with the highest estimate of tokens, weighted by preference, or
+    /// null.
     [[nodiscard]] const candidate* choose(time_point now,
                                           std::span<const candidate> candidates) const;
 
-    /// @brief Candidate that is likely to have the emptiest demand and may be asked for rate.
+    /// @brief Available candidate that is likely to have the most unused rate, or null.
     [[nodiscard]] const candidate* choose_for_rate(time_point now,
                                                    std::span<const candidate> candidates) const;
 
     /// @brief Earliest time at which one of @a candidates may be asked.
-    [[nodiscard]] time_point next_chance(time_point now,
-                                         std::span<const candidate> candidates) const;
+    [[nodiscard]] time_point next_request_time(time_point now,
+                                               std::span<const candidate> candidates) const;
 
-    /// @brief Tokens that @a option is likely to have: the last hint and what has refilled since.
+    /// @brief Estimated tokens of @a option: the number that it last reported and the refill since.
     [[nodiscard]] double estimate(time_point now, const candidate& option) const;
 
-    /// @brief Notes a request for tokens.
-    void asked(request_id id, const vm_id& vm, double amount, time_point expiry);
-    /// @brief Notes a request for rate; @a vm is not asked again for @a pause.
-    void asked_for_rate(time_point now, const vm_id& vm, duration pause);
+    /// @brief Records a token request.
+    void request_sent(request_id id, const vm_id& vm, double amount, time_point expiry);
+    /// @brief Records a request for rate; @a vm is not asked for rate again for @a pause.
+    void rate_request_sent(time_point now, const vm_id& vm, duration pause);
 
-    /// @brief Notes an answer.
-    /// @return false when the request is unknown, already answered or expired; such a grant must
-    ///         not be used, because the donor no longer reserves capacity for it
-    [[nodiscard]] bool granted(time_point now, request_id id, const vm_id& vm, double amount,
-                               double left);
+    /// @brief Records the answer to a token request.
+    /// @return false if the request is unknown, already answered or expired; its grant must not be
+    /// used, because the donor no longer reserves capacity for it
+    [[nodiscard]] bool accept_grant(time_point now, request_id id, const vm_id& vm, double amount,
+                                    double left);
 
-    /// @brief Until when a grant of request @a id may be used; the lowest time for an unknown one.
+    /// @brief Time until which a grant for request @a id may be used; `time_point::min()` if
+    /// unknown.
     [[nodiscard]] time_point expiry_of(request_id id) const;
 
-    /// @brief Gives up on requests that got no answer in time.
+    /// @brief Drops requests that timed out, and backs off from their donors.
     void expire(time_point now);
 
-    /// @brief Tokens asked for and not yet answered.
+    /// @brief Tokens in requests that are in flight.
     [[nodiscard]] double outstanding() const noexcept;
     [[nodiscard]] std::size_t open() const noexcept { return open_.size(); }
-    /// @brief Earliest expiry of an outstanding request.
+    /// @brief When `expire` is due for the earliest request in flight.
     [[nodiscard]] time_point next_deadline() const noexcept;
 
-    /// @brief Longest time for which a donor without tokens is left alone.
+    /// @brief Longest time for which a donor without tokens or without an answer is not asked.
     static constexpr duration longest_backoff = std::chrono::seconds{2};
 
   private:
     struct donor_state {
-        std::optional<double> left; ///< Hint of the last grant.
-        time_point heard{};
+        std::optional<double> left; ///< Tokens that the donor reported with its last grant.
+        time_point updated_at{};
         duration backoff{0};
-        time_point ask_after{};
-        time_point rate_after{};
-        bool busy{false}; ///< A request is outstanding.
+        time_point next_request_at{};
+        time_point next_rate_request_at{};
+        bool request_open{false};
     };
     struct open_request {
         vm_id donor;
@@ -86,12 +88,12 @@
         time_point expiry;
     };
 
-    void back_off(time_point now, donor_state& silent, duration shortest);
-    [[nodiscard]] time_point askable_at(time_point now, const candidate& option) const;
+    void back_off(time_point now, donor_state& donor, duration shortest);
+    [[nodiscard]] time_point available_at(time_point now, const candidate& option) const;
 
-    [[nodiscard]] double smallest_estimate(const candidate& option) const noexcept;
+    [[nodiscard]] double smallest_useful_estimate(const candidate& option) const noexcept;
 
-    share_limits whole_;
+    share_limits fleet_limits_;
     std::map<vm_id, donor_state> donors_;
     std::map<request_id, open_request> open_;
 };
--- a/src/core/limits/organisation_limiter_peers.cpp
+++ b/src/core/limits/organisation_limiter_peers.cpp
@@ -11,29 +11,30 @@
 
 namespace {
 
-/// The donor's clock may run this much faster than the asker's; its reservation has to outlast
-/// the time in which the asker accepts the grant.
+/// The donor's clock may run faster than the requester's by one part in this many; the donor's
+/// reservation has to outlast the time in which the requester accepts the grant.
 constexpr int clock_margin_divisor = 10;
-/// No reservation lasts longer than the settle time of the shares less this part of it.
+/// No grant is valid for longer than the settle time of the shares less one part in this many.
 constexpr int settle_divisor = 5;
 /// Smaller amounts are not worth a grant.
 constexpr double smallest_grant = 0.01;
-/// Part of the tokens left after the waiting requests that a donor gives ahead.
-constexpr double ahead_fraction = 0.5;
-/// Average over this time tells the demand.
+/// Fraction of the tokens left after the waiting requests that a donor grants as prefetch.
+constexpr double prefetch_fraction = 0.5;
+/// Time constant of the demand's exponential average.
 constexpr double demand_seconds = 5;
 constexpr double microseconds_per_second = 1e6;
-/// Error of a sum of parts of a token.
+/// Tolerance for rounding errors in a sum of token fractions.
 constexpr double rounding = 1e-9;
-/// A giver keeps this multiple of its own demand.
+/// A donor of rate keeps this multiple of its own demand.
 constexpr double demand_margin = 1.2;
-/// Part of an equal share that every giver keeps.
+/// Fraction of an equal share that every donor of rate keeps.
 constexpr double kept_fraction = 0.1;
-/// A lack below this part of the whole is not worth a store call.
-constexpr double smallest_lack = 0.02;
-/// Part of its spare rate that a giver gives at once: fewer moves need fewer store calls.
-constexpr double gift_fraction = 0.8;
-/// Burst that every giver keeps; less than one token could never be used.
+/// A shortfall below this fraction of the fleet-wide rate is not worth a store call.
+constexpr double smallest_shortfall = 0.02;
+/// Fraction of its spare rate that a donor transfers at once: fewer transfers need fewer store
+/// calls.
+constexpr double transfer_fraction = 0.8;
+/// Burst in tokens that every donor of rate keeps; less than one token could never be used.
 constexpr double kept_burst = 2;
 constexpr duration rate_request_pause = std::chrono::seconds{8};
 
@@ -47,18 +48,18 @@
                                    actions& out) {
     const auto entry = context_.live.find(from);
     const auto key = std::pair{from, message.id};
-    if (entry == context_.live.end() || transits_.contains(key)) {
-        return; // A repeated request has been answered; its grant may still arrive.
+    if (entry == context_.live.end() || reservations_.contains(key)) {
+        return; // A duplicate of an answered request; the grant may still arrive.
     }
-    follow_share(now);
+    sync_bucket_limits(now);
     serve(now);
     const double free = free_tokens(now);
     const double waiting = std::clamp(message.waiting, 0.0, free);
-    const double ahead =
-        std::clamp(message.amount - message.waiting, 0.0, (free - waiting) * ahead_fraction);
-    double amount = waiting + ahead;
+    const double prefetch =
+        std::clamp(message.amount - message.waiting, 0.0, (free - waiting) * prefetch_fraction);
+    double amount = waiting + prefetch;
     if (ledger().record().find(from) == nullptr && bucket_.capacity() >= 1) {
-        amount = std::floor(amount); // Who holds no share cannot keep a part of a token.
+        amount = std::floor(amount); // A VM without a share cannot store a fraction of a token.
     }
     const auto settle = context_.settings.settle;
     const auto validity = std::max(message.valid_for, duration{0});
@@ -66,7 +67,8 @@
         amount = 0;
     } else {
         amount = bucket_.send(now, amount);
-        transits_[key] = {amount, now + validity + validity / clock_margin_divisor + duration{1}};
+        reservations_[key] = {amount,
+                              now + validity + validity / clock_margin_divisor + duration{1}};
     }
     out.emplace_back(
         send_to_peer{from, entry->second.peer, peer_channel::stream,
@@ -76,12 +78,12 @@
 void organisation_limiter::on_peer(time_point now, const vm_id& from, const token_grant& message,
                                    actions& out) {
     const auto expiry = donors_.expiry_of(message.id);
-    if (!donors_.granted(now, message.id, from, message.amount, message.left)) {
+    if (!donors_.accept_grant(now, message.id, from, message.amount, message.left)) {
         return;
     }
-    follow_share(now);
+    sync_bucket_limits(now);
     if (message.amount > 0) {
-        messages_.add(now, 1);
+        request_budget_.add(now, 1);
         if (message.amount < 1 && bucket_.capacity() < 1) {
             partial_grants_.push_back({from, message.id, message.amount, expiry});
         } else {
@@ -108,8 +110,8 @@
     return sum;
 }
 
-/// Admits a request once the parts of a token have come together: where the burst is smaller than
-/// the number of holders, none of them ever has a whole one.
+/// Admits a request once the granted fractions add up to a token: if the burst is smaller than the
+/// number of holders, none of them ever has a whole token.
 void organisation_limiter::spend_partial_grants(time_point now, actions& out) {
     std::erase_if(partial_grants_, [now](const auto& each) { return each.expiry <= now; });
     if (partial_grants_.empty() || waiting_.empty()) {
@@ -117,7 +119,7 @@
     }
     const double missing = 1 - partial_sum() - rounding;
     if (missing <= 0 || (uses_share() && bucket_.take(now, missing))) {
-        decide(admission_state::admitted, waiting_.front().handle, now);
+        record_decision(admission_state::admitted, waiting_.front().handle, now);
         waiting_.erase(waiting_.begin());
         drop_partial_grants(out);
     }
@@ -131,18 +133,18 @@
 
 void organisation_limiter::on_peer(time_point now, const vm_id& from,
                                    const token_acknowledgement& message, actions& out) {
-    const auto found = transits_.find({from, message.id});
-    if (found == transits_.end()) {
+    const auto found = reservations_.find({from, message.id});
+    if (found == reservations_.end()) {
         return;
     }
-    follow_share(now);
+    sync_bucket_limits(now);
     bucket_.settle(now, found->second.amount);
-    transits_.erase(found);
+    reservations_.erase(found);
     update(now, out);
 }
 
 void organisation_limiter::settle_expired(time_point now) {
-    std::erase_if(transits_, [&](const auto& open) {
+    std::erase_if(reservations_, [&](const auto& open) {
         if (open.second.expiry > now) {
             return false;
         }
@@ -151,35 +153,35 @@
     });
 }
 
-/// Capacity that tokens in transit occupy stays, else these tokens and the receiver's would exceed
-/// the burst.
+/// Capacity that tokens in transit occupy is not spare, else these tokens and the receiver's would
+/// exceed the burst.
 double organisation_limiter::spare_fraction(time_point now) const {
-    if (whole_.rate <= 0) {
+    if (fleet_limits_.rate <= 0) {
         return 1;
     }
     const double holders = std::max(1.0, static_cast<double>(ledger().record().holders.size()));
     const double kept =
-        std::max(demand(now) * demand_margin, whole_.rate / holders * kept_fraction);
-    double spare = std::max(0.0, bucket_.rate() - kept) * gift_fraction / whole_.rate;
-    if (whole_.burst > 0) {
+        std::max(demand(now) * demand_margin, fleet_limits_.rate / holders * kept_fraction);
+    double spare = std::max(0.0, bucket_.rate() - kept) * transfer_fraction / fleet_limits_.rate;
+    if (fleet_limits_.burst > 0) {
         const double kept_capacity = std::max(bucket_.reserved(), kept_burst);
-        spare = std::min(spare, (bucket_.capacity() - kept_capacity) / whole_.burst);
+        spare = std::min(spare, (bucket_.capacity() - kept_capacity) / fleet_limits_.burst);
     }
     return std::clamp(spare, 0.0, 1.0);
 }
 
 double organisation_limiter::lacking_fraction(const share_request& message) const noexcept {
     const double lacking = std::max(0.0, message.demand * demand_margin - message.rate);
-    return whole_.rate <= 0 ? 0 : lacking / whole_.rate;
+    return fleet_limits_.rate <= 0 ? 0 : lacking / fleet_limits_.rate;
 }
 
-void organisation_limiter::consider_share_request(time_point now, actions& out) {
+void organisation_limiter::maybe_request_share(time_point now, actions& out) {
     if (now < share_request_at_ || !ledger().holder() || !ledger().verified()) {
         return;
     }
     share_request_at_ = now + context_.limits.share_interval;
     const double wanted = demand(now) * demand_margin - bucket_.rate();
-    const bool worthwhile = wanted > whole_.rate * smallest_lack;
+    const bool worthwhile = wanted > fleet_limits_.rate * smallest_shortfall;
     const bool lacking = std::exchange(short_of_tokens_, false) && worthwhile;
     if (!lacking) {
         return;
@@ -189,12 +191,12 @@
     if (entry == context_.live.end()) {
         return;
     }
-    donors_.asked_for_rate(now, donor->vm, rate_request_pause);
+    donors_.rate_request_sent(now, donor->vm, rate_request_pause);
     out.emplace_back(send_to_peer{donor->vm, entry->second.peer, peer_channel::stream,
                                   share_request{organisation_, demand(now), bucket_.rate()}});
 }
 
-void organisation_limiter::note_arrival(time_point now) {
+void organisation_limiter::record_arrival(time_point now) {
     demand_ = demand(now) + 1 / demand_seconds;
     demand_at_ = now;
 }
@@ -205,8 +207,8 @@
 
 Json::Value organisation_limiter::describe(time_point now) const {
     Json::Value json{Json::objectValue};
-    json["rate"] = whole_.rate;
-    json["burst"] = whole_.burst;
+    json["rate"] = fleet_limits_.rate;
+    json["burst"] = fleet_limits_.burst;
     json["part"] = ledger().usable_part();
     json["verified"] = ledger().verified();
     json["own_rate"] = bucket_.rate();
--- a/src/core/limits/rate_limiter.cpp
+++ b/src/core/limits/rate_limiter.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A renewal without an answer is repeated after this part of the renewal interval.
+/// A failed renewal is retried after the renewal interval divided by this.
 constexpr int renewal_retry_divisor = 3;
-/// The store's clock may run this much faster than the own one.
+/// The store's clock may run faster than the local one by one part in this many.
 constexpr int clock_margin_divisor = 10;
-/// Moves below this part of the whole are not worth a store call.
-constexpr std::uint32_t smallest_gift = whole_share / 50;
+/// Transfers of smaller parts are not worth a store call.
+constexpr std::uint32_t smallest_transfer = whole_share / 50;
 
 template <class Message>
 concept limiter_message = std::is_same_v<Message, token_request> ||
@@ -48,20 +48,21 @@
         apply(now, organisation, {row.rate, row.burst}, out);
     }
     for (auto& [id, group] : groups_) {
-        create_held(now, group, now, out);
+        create_held_limiters(now, group, now, out);
     }
-    settle_all(now, out);
+    refresh_all_groups(now, out);
 }
 
-/// Sets the limits of one organisation. Most rows of a new configuration are the same as before.
-void rate_limiter::apply(time_point now, const organisation_id& organisation, share_limits whole,
-                         actions& out) {
+/// Sets the limits of one organisation. Returns early for an unchanged row, as most rows of a new
+/// configuration are.
+void rate_limiter::apply(time_point now, const organisation_id& organisation,
+                         share_limits fleet_limits, actions& out) {
     auto [found, created] = rows_.try_emplace(organisation);
     auto& row = found->second;
-    if (!created && row.whole == whole) {
+    if (!created && row.fleet_limits == fleet_limits) {
         return;
     }
-    row.whole = whole;
+    row.fleet_limits = fleet_limits;
     if (created) {
         row.group = &group_of(organisation);
         if (row.group->configured++ == 0) {
@@ -71,12 +72,12 @@
     }
     const auto limiter = organisations_.find(organisation);
     if (limiter != organisations_.end()) {
-        limiter->second.limiter.configure(now, whole, out);
+        limiter->second.limiter.configure(now, fleet_limits, out);
         reschedule(now, limiter->second);
     }
 }
 
-/// Removes an organisation that is not in the configuration any more.
+/// Removes an organisation that is no longer in the configuration.
 rate_limiter::row_map::iterator rate_limiter::remove(time_point now, row_map::iterator row,
                                                      actions& out) {
     const auto found = organisations_.find(row->first);
@@ -110,13 +111,13 @@
     for (auto& [id, group] : groups_) {
         group.share.fleet_changed(now, out);
     }
-    settle_all(now, out);
+    refresh_all_groups(now, out);
 }
 
 admission rate_limiter::admit(time_point now, const organisation_id& organisation,
                               request_id handle, time_point deadline, actions& out) {
     now_ = now;
-    auto* const found = obtain(now, organisation, now, out);
+    auto* const found = find_or_create(now, organisation, now, out);
     if (found == nullptr) {
         return {handle,
                 admission_state::refused,
@@ -159,10 +160,10 @@
                      .first->second;
 }
 
-/// Limiter of @a organisation, created when it is needed first; null without a row.
-rate_limiter::organisation_state* rate_limiter::obtain(time_point now,
-                                                       const organisation_id& organisation,
-                                                       time_point started, actions& out) {
+/// Limiter of @a organisation, created at its first use; null without a row in the configuration.
+rate_limiter::organisation_state* rate_limiter::find_or_create(time_point now,
+                                                               const organisation_id& organisation,
+                                                               time_point started, actions& out) {
     const auto found = organisations_.find(organisation);
     if (found != organisations_.end()) {
         return &found->second;
@@ -179,41 +180,41 @@
                          {organisation, group.share, context_, started}, group, no_deadline})
             .first->second;
     group.members.push_back(&made);
-    made.limiter.configure(now, row->second.whole, out);
+    made.limiter.configure(now, row->second.fleet_limits, out);
     reschedule(now, made);
     return &made;
 }
 
-/// A holder has the limiters of all organisations of its group: their buckets fill up before the
-/// first request comes.
-void rate_limiter::create_held(time_point now, group_state& group, time_point started,
-                               actions& out) {
+/// A holder has limiters for all organisations of its group: their buckets fill up before the first
+/// request arrives.
+void rate_limiter::create_held_limiters(time_point now, group_state& group, time_point started,
+                                        actions& out) {
     if (!group.share.ledger().holder() || group.members.size() == group.configured) {
         return;
     }
     for (const auto& [organisation, row] : rows_) {
         if (row.group == &group) {
-            std::ignore = obtain(now, organisation, started, out);
+            std::ignore = find_or_create(now, organisation, started, out);
         }
     }
 }
 
-/// Brings the limiters up to date after an event of their group.
-void rate_limiter::settle(time_point now, group_state& group, actions& out) {
-    follow(now, group, out);
+/// Updates the limiters after an event of their group.
+void rate_limiter::refresh_group(time_point now, group_state& group, actions& out) {
+    refresh_members(now, group, out);
     summarise_groups();
 }
 
-void rate_limiter::settle_all(time_point now, actions& out) {
+void rate_limiter::refresh_all_groups(time_point now, actions& out) {
     for (auto& [id, group] : groups_) {
-        follow(now, group, out);
+        refresh_members(now, group, out);
     }
     summarise_groups();
 }
 
-void rate_limiter::follow(time_point now, group_state& group, actions& out) {
+void rate_limiter::refresh_members(time_point now, group_state& group, actions& out) {
     if (group.share.take_changed()) {
-        create_held(now, group, configured_at_, out);
+        create_held_limiters(now, group, configured_at_, out);
         for (auto* const each : group.members) {
             each->limiter.share_changed(now, out);
             reschedule(now, *each);
@@ -250,7 +251,7 @@
     return std::visit(
         [&](const auto& content) {
             if constexpr (limiter_message<std::decay_t<decltype(content)>>) {
-                take(now, from, content, out);
+                handle_message(now, from, content, out);
                 return true;
             } else {
                 return false;
@@ -259,37 +260,38 @@
         message);
 }
 
-void rate_limiter::take(time_point now, const vm_id& from, const share_request& message,
-                        actions& out) {
-    auto* const found = obtain(now, message.organisation, now, out);
+void rate_limiter::handle_message(time_point now, const vm_id& from, const share_request& message,
+                                  actions& out) {
+    auto* const found = find_or_create(now, message.organisation, now, out);
     if (found == nullptr || !found->group.share.ledger().verified()) {
         return;
     }
     auto& group = found->group;
     const auto part = spare_part(now, group, found->limiter.lacking_fraction(message));
-    if (part >= smallest_gift && group.share.give(now, from, part, out)) {
-        settle(now, group, out);
+    if (part >= smallest_transfer && group.share.start_transfer(now, from, part, out)) {
+        refresh_group(now, group, out);
     }
 }
 
-void rate_limiter::take(time_point now, const vm_id& /*from*/, const share_notice& message,
-                        actions& out) {
+void rate_limiter::handle_message(time_point now, const vm_id& /*from*/,
+                                  const share_notice& message, actions& out) {
     const auto found = groups_.find(message.group);
     if (found != groups_.end()) {
         found->second.share.on_notice(now, message, out);
-        settle(now, found->second, out);
+        refresh_group(now, found->second, out);
     }
 }
 
 template <class Message>
-void rate_limiter::take(time_point now, const vm_id& from, const Message& message, actions& out) {
-    if (auto* const found = obtain(now, message.organisation, now, out)) {
+void rate_limiter::handle_message(time_point now, const vm_id& from, const Message& message,
+                                  actions& out) {
+    if (auto* const found = find_or_create(now, message.organisation, now, out)) {
         found->limiter.on_peer(now, from, message, out);
         reschedule(now, *found);
     }
 }
 
-/// Part of the group's share that no organisation needs here, up to what the asker lacks.
+/// Part of the group's share that no organisation needs at this VM, up to what the requester lacks.
 std::uint32_t rate_limiter::spare_part(time_point now, const group_state& group,
                                        double lacking) const {
     double spare = std::min(lacking, 1.0);
@@ -310,7 +312,7 @@
     }
     for (auto& [id, group] : groups_) {
         if (group.share.on_store(now, answer, out)) {
-            settle(now, group, out);
+            refresh_group(now, group, out);
             return true;
         }
     }
@@ -320,10 +322,10 @@
 void rate_limiter::paused(time_point now, actions& out) {
     now_ = now;
     if (now < lease_until_) {
-        return; // Nobody can have found the lease expired.
+        return; // No VM can have found the lease expired.
     }
     log(out, "limits", log_level::warning,
-        "paused past the lease; no share is used until confirmed");
+        "paused past the lease; no share is used until its record entry is confirmed");
     if (std::exchange(lease_pending_, false)) {
         abandoned_.insert(lease_call_);
     }
@@ -332,7 +334,7 @@
     for (auto& [id, group] : groups_) {
         group.share.paused(now, out);
     }
-    settle_all(now, out);
+    refresh_all_groups(now, out);
     renew_lease(now, out);
 }
 
@@ -342,7 +344,7 @@
     for (auto& [id, group] : groups_) {
         group.share.leave(now, out);
     }
-    settle_all(now, out);
+    refresh_all_groups(now, out);
 }
 
 bool rate_limiter::left() const noexcept {
@@ -356,7 +358,7 @@
     for (auto& [id, group] : groups_) {
         if (group.due <= now) {
             group.share.tick(now, out);
-            settle(now, group, out);
+            refresh_group(now, group, out);
         }
     }
     std::vector<organisation_state*> due;
@@ -420,7 +422,7 @@
         for (auto& [id, group] : groups_) {
             group.share.tick(now, out);
         }
-        settle_all(now, out);
+        refresh_all_groups(now, out);
     }
 }
 
--- a/src/core/limits/share_group.cpp
+++ b/src/core/limits/share_group.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// Between two moves of a part: each costs a store write.
-constexpr duration gift_interval = std::chrono::seconds{4};
-constexpr double region_preference = 0.8;
-constexpr double distant_preference = 0.5;
+/// Shortest time between two transfers of a part: each costs a store write.
+constexpr duration transfer_interval = std::chrono::seconds{4};
+constexpr double same_region_preference = 0.8;
+constexpr double other_region_preference = 0.5;
 
 double preference_of(const location& place, const location& own) {
     if (place.region != own.region) {
-        return distant_preference;
+        return other_region_preference;
     }
-    return place.domain != own.domain ? region_preference : 1;
+    return place.domain != own.domain ? same_region_preference : 1;
 }
 
 } // namespace
@@ -33,7 +33,7 @@
 }
 
 void share_group::fleet_changed(time_point now, actions& out) {
-    ledger_.set_targets(now, chosen_holders(), out);
+    ledger_.set_targets(now, select_holders(), out);
 }
 
 bool share_group::on_store(time_point now, const store_answer& answer, actions& out) {
@@ -56,11 +56,13 @@
     ledger_.tick(now, out);
 }
 
-bool share_group::give(time_point now, const vm_id& receiver, std::uint32_t part, actions& out) {
-    if (now < last_gift_ + gift_interval || !ledger_.give(now, receiver, part, out)) {
+bool share_group::start_transfer(time_point now, const vm_id& receiver, std::uint32_t part,
+                                 actions& out) {
+    if (now < last_transfer_ + transfer_interval ||
+        !ledger_.start_transfer(now, receiver, part, out)) {
         return false;
     }
-    last_gift_ = now;
+    last_transfer_ = now;
     return true;
 }
 
@@ -101,8 +103,8 @@
     return found;
 }
 
-/// Some VMs of each failure domain, up to the highest number of holders.
-std::vector<vm_id> share_group::chosen_holders() const {
+/// Selects some VMs of each failure domain, up to the highest number of holders.
+std::vector<vm_id> share_group::select_holders() const {
     std::vector<const vm_entry*> live;
     live.reserve(context_.live.size());
     for (const auto& [vm, entry] : context_.live) {
--- a/src/core/limits/share_ledger.cpp
+++ b/src/core/limits/share_ledger.cpp
@@ -13,8 +13,8 @@
 
 /// A smaller unassigned part is not worth a change that every holder has to read.
 constexpr std::uint32_t smallest_distribution = whole_share / 100;
-/// A part that waits for a VM that does not join is distributed after this time.
-constexpr duration join_patience = std::chrono::seconds{60};
+/// A part kept for a target that does not join is distributed after this time.
+constexpr duration join_timeout = std::chrono::seconds{60};
 
 bool contains(const std::vector<vm_id>& vms, const vm_id& vm) {
     return std::find(vms.begin(), vms.end(), vm) != vms.end();
@@ -36,33 +36,34 @@
     const bool was_target = target();
     const bool changed = targets != targets_;
     targets_ = std::move(targets);
-    // VMs that start together see the fleet grow; a join that follows each view leaves parts with
-    // VMs that are no targets in the end.
+    // VMs that start together see the fleet grow. A join on each intermediate view would leave
+    // parts with VMs that are not targets in the end.
     const bool listed = record_.find(context_.self) != nullptr;
     if (target() && (!was_target || (changed && !listed))) {
         // An earlier incarnation may have tokens in transit.
-        join_at_ = now + context_.settings.settle + random_part(context_.settings.join_spread);
+        join_at_ = now + context_.settings.settle + random_delay(context_.settings.join_spread);
         first_join_at_ = join_at_ + context_.settings.join_settle;
         untargeted_since_ = no_deadline;
     } else if (!target() && was_target) {
         untargeted_since_ = now;
     }
     std::erase_if(expired_, [&](const share_holder& holder) {
-        return !context_.gone.contains(holder.vm); // It was listed again; old evidence is void.
+        // Once it is listed again, its expired lease no longer counts.
+        return !context_.gone.contains(holder.vm);
     });
     schedule_shared_work(now);
     advance(now, out);
 }
 
 void share_ledger::on_notice(time_point now, const share_notice& notice, actions& out) {
-    noticed_ = std::max(noticed_, notice.version);
-    // The answer to a call in flight may be older. After a pause past the lease only the store
-    // tells whether the part is still there.
+    notified_version_ = std::max(notified_version_, notice.version);
+    // The answer to a call in flight may be older than the notice. After a pause past the lease
+    // only the store shows whether this VM still has its part.
     const bool usable = call_kind_ == call_kind::none && !confirm_needed_;
     if (notice.record && usable && notice.version > version_) {
         observe(now, *notice.record, notice.version, out);
     }
-    read_needed_ = read_needed_ || noticed_ > version_;
+    read_needed_ = read_needed_ || notified_version_ > version_;
     advance(now, out);
 }
 
@@ -88,12 +89,13 @@
     return true;
 }
 
-bool share_ledger::give(time_point now, const vm_id& receiver, std::uint32_t part, actions& out) {
+bool share_ledger::start_transfer(time_point now, const vm_id& receiver, std::uint32_t part,
+                                  actions& out) {
     const bool busy = call_kind_ != call_kind::none || read_needed_ || transfer_ || now < retry_at_;
     if (busy || !verified_ || part == 0 || part > usable_part()) {
         return false;
     }
-    read_needed_ = record_.find(receiver) == nullptr; // It may have joined since.
+    read_needed_ = record_.find(receiver) == nullptr; // It may have joined since the last read.
     transfer_ = transfer{receiver, part, 0};
     report(out, "gives " + std::to_string(part) + " millionths to " + receiver.str());
     advance(now, out);
@@ -125,15 +127,15 @@
         return no_deadline;
     }
     if (!read_needed_ && confirm_needed_ && !context_.lease_renewed) {
-        return no_deadline; // The renewal's answer comes first.
+        return no_deadline; // Waits for the answer to the lease renewal.
     }
-    if (uninvolved()) {
+    if (record_not_needed()) {
         return no_deadline;
     }
     if (read_needed_ || confirm_needed_ || !unresolved_.empty() || transfer_) {
         return retry_at_;
     }
-    auto due = std::min({shared_work_at_, lease_check_at_, drained_at_, stray_notice_at_});
+    auto due = std::min({shared_work_at_, lease_check_at_, drained_at_, non_target_notice_at_});
     if (holder() || target()) {
         due = std::min(due, refresh_at_);
     }
@@ -174,7 +176,7 @@
 }
 
 bool share_ledger::left() const noexcept {
-    return leaving_ && !holder() && (!read_needed_ || uninvolved()) && unresolved_.empty() &&
+    return leaving_ && !holder() && (!read_needed_ || record_not_needed()) && unresolved_.empty() &&
            call_kind_ == call_kind::none;
 }
 
@@ -187,7 +189,7 @@
     if (call_kind_ != call_kind::none || now < retry_at_) {
         return;
     }
-    if (uninvolved()) {
+    if (record_not_needed()) {
         return;
     }
     if (read_needed_) {
@@ -201,16 +203,17 @@
     if (now >= shared_work_at_) {
         shared_work_at_ = no_deadline;
     }
-    if (now >= stray_notice_at_) {
-        stray_notice_at_ = no_deadline;
-        notify(strays(), out);
+    if (now >= non_target_notice_at_) {
+        non_target_notice_at_ = no_deadline;
+        notify(non_target_holders(), out);
     }
     if (next) {
         start_swap(*next, out);
         return;
     }
     if (!unresolved_.empty()) {
-        // The lost change could still take effect at this version; an equal record ends that.
+        // A change without an answer could still be applied to this version. Writing an equal
+        // record raises the version, which rules that out.
         start_swap(record_, out);
         return;
     }
@@ -223,7 +226,7 @@
     }
 }
 
-/// Drops a transfer that cannot happen any more, and stops the use of a part that is not wanted.
+/// Drops a transfer that is no longer possible, and stops the use of a part that is to be released.
 void share_ledger::drop_outdated(time_point now) {
     const bool known = transfer_ && record_.find(transfer_->receiver) != nullptr;
     if (transfer_ && !read_needed_ &&
@@ -232,18 +235,19 @@
     }
     const auto* entry = record_.find(context_.self);
     const bool own = entry != nullptr && entry->incarnation <= context_.incarnation;
-    drained_at_ =
-        own && !wanted(now) ? std::min(drained_at_, now + context_.settings.settle) : no_deadline;
+    drained_at_ = own && !should_hold_part(now)
+                      ? std::min(drained_at_, now + context_.settings.settle)
+                      : no_deadline;
 }
 
 std::optional<share_record> share_ledger::desired(time_point now) const {
     auto next = record_;
     const bool removed = remove_reclaimed(next);
-    const bool placed = place_self(now, next);
+    const bool placed = update_own_entry(now, next);
     const bool moved = apply_transfer(next);
     bool changed = removed || placed || moved || confirm_needed_;
-    // A remainder that is not worth a write of its own goes with the next one: with parts that do
-    // not add up to the whole, a burst of one token would never be there.
+    // A remainder too small for a write of its own is distributed with the next write: with parts
+    // that do not add up to the whole, a burst of one token could never be used.
     if ((changed && all_targets_joined(next)) ||
         (now >= shared_work_at_ && distribution_due(now, next))) {
         next.distribute();
@@ -252,7 +256,7 @@
     return changed ? std::optional{std::move(next)} : std::nullopt;
 }
 
-bool share_ledger::wanted(time_point now) const noexcept {
+bool share_ledger::should_hold_part(time_point now) const noexcept {
     if (leaving_ || superseded() || !active_) {
         return false;
     }
@@ -264,18 +268,19 @@
     return !holder() && target() && !leaving_ && !superseded() && active_;
 }
 
-/// Whether this VM is no target and has not seen the record. It does not read it: if it has the
-/// entry of an earlier life, a holder sends it the record.
-bool share_ledger::uninvolved() const noexcept {
-    return read_needed_ && !target() && version_ == 0 && noticed_ == 0 && unresolved_.empty();
+/// Whether this VM is not a target and has not seen the record. It does not read the record: if an
+/// earlier incarnation has an entry, a holder sends the record.
+bool share_ledger::record_not_needed() const noexcept {
+    return read_needed_ && !target() && version_ == 0 && notified_version_ == 0 &&
+           unresolved_.empty();
 }
 
-bool share_ledger::place_self(time_point now, share_record& next) const {
+bool share_ledger::update_own_entry(time_point now, share_record& next) const {
     auto* own = next.find(context_.self);
     if (own != nullptr && own->incarnation > context_.incarnation) {
         return false;
     }
-    if (!wanted(now)) {
+    if (!should_hold_part(now)) {
         if (own == nullptr || now < drained_at_) {
             return false;
         }
@@ -332,7 +337,7 @@
         return false;
     }
     return all_targets_joined(next) ||
-           (incomplete_since_ != no_deadline && now >= incomplete_since_ + join_patience);
+           (incomplete_since_ != no_deadline && now >= incomplete_since_ + join_timeout);
 }
 
 bool share_ledger::all_targets_joined(const share_record& record) const {
@@ -369,20 +374,20 @@
     if (complete && distribution_due(now, record_)) {
         shared_work_at_ = std::min(shared_work_at_, now + takeover_delay());
     } else if (!complete && record_.unassigned() >= smallest_distribution) {
-        const auto end_of_patience = std::max(now, incomplete_since_ + join_patience);
-        shared_work_at_ = std::min(shared_work_at_, end_of_patience + takeover_delay());
+        const auto join_deadline = std::max(now, incomplete_since_ + join_timeout);
+        shared_work_at_ = std::min(shared_work_at_, join_deadline + takeover_delay());
     }
     if (lease_to_check() != nullptr && lease_check_at_ == no_deadline) {
         lease_check_at_ = now + takeover_delay();
     }
-    if (!strays().empty() && stray_notice_at_ == no_deadline) {
-        stray_notice_at_ = now + context_.settings.return_after + takeover_delay();
+    if (!non_target_holders().empty() && non_target_notice_at_ == no_deadline) {
+        non_target_notice_at_ = now + context_.settings.return_after + takeover_delay();
     }
 }
 
-/// VMs that live and have an entry without being targets. One that has started again since does
-/// not know of it.
-std::vector<vm_id> share_ledger::strays() const {
+/// Live VMs that have an entry without being targets. A VM that has restarted since does not know
+/// of its entry.
+std::vector<vm_id> share_ledger::non_target_holders() const {
     std::vector<vm_id> found;
     for (const auto& holder : record_.holders) {
         if (holder.vm != context_.self && context_.live.contains(holder.vm) &&
@@ -393,8 +398,8 @@
     return found;
 }
 
-/// Work that one VM has to do falls to the first live holder by rendezvous rank; each next one
-/// waits longer, so that it normally finds the work done.
+/// Work that only one VM has to do is done by the first live holder by rendezvous rank. Each
+/// following holder waits longer, so that it normally finds the work done.
 duration share_ledger::takeover_delay() {
     std::vector<vm_entry> candidates;
     for (const auto& holder : record_.holders) {
@@ -406,10 +411,10 @@
     const auto ranked = rank_vms(group_.str(), candidates);
     const auto own = std::find(ranked.begin(), ranked.end(), context_.self);
     const auto step = context_.settings.takeover_step;
-    return (own - ranked.begin()) * step + random_part(step / 4);
+    return (own - ranked.begin()) * step + random_delay(step / 4);
 }
 
-duration share_ledger::random_part(duration longest) {
+duration share_ledger::random_delay(duration longest) {
     std::uniform_int_distribution<duration::rep> choose{
         0, std::max<duration::rep>(0, longest.count())};
     return duration{choose(context_.random)};
--- a/src/core/limits/share_ledger_calls.cpp
+++ b/src/core/limits/share_ledger_calls.cpp
@@ -5,13 +5,13 @@
 #include <algorithm>
 
 /// @file
-/// @brief Store calls of the share ledger and what follows from their answers.
+/// @brief Store calls of the share ledger and the handling of their answers.
 
 namespace jackdawvane {
 
 namespace {
 
-/// Conflicts at the same time are retried within this time, spread at random.
+/// A conflict is retried after a random delay of up to this time, to separate concurrent writers.
 constexpr duration conflict_spread = std::chrono::milliseconds{100};
 /// A lease that still exists is read again after this time.
 constexpr duration lease_check_interval = std::chrono::seconds{10};
@@ -74,7 +74,8 @@
         return;
     }
     if (answer.status == store_status::unavailable) {
-        report(out, "answer to a change lost, part counts as given", log_level::warning);
+        report(out, "no answer to a record update, part counts as transferred until read back",
+               log_level::warning);
         transfer_.reset();
         read_needed_ = true;
         retry_later(now);
@@ -84,7 +85,7 @@
     if (transfer_ && ++transfer_->attempts >= transfer_attempts) {
         transfer_.reset();
     }
-    retry_at_ = now + random_part(conflict_spread);
+    retry_at_ = now + random_delay(conflict_spread);
     read_needed_ = true;
     if (answer.status == store_status::conflict && !answer.value.empty()) {
         observe_text(now, answer, out);
@@ -113,7 +114,7 @@
     const auto record =
         json ? from_json<share_record>(json.value()) : result<share_record>{json.error()};
     if (!record) {
-        report(out, "record is unreadable: " + record.error().message(), log_level::error);
+        report(out, "cannot parse the share record: " + record.error().message(), log_level::error);
         read_needed_ = true;
         retry_later(now);
         return;
@@ -131,22 +132,22 @@
     }
     record_ = std::move(record);
     version_ = version;
-    read_needed_ = noticed_ > version_;
+    read_needed_ = notified_version_ > version_;
     confirm_needed_ = confirm_needed_ && holder();
     verified_ = !confirm_needed_;
     retry_delay_ = duration{0};
     const auto refresh = context_.settings.refresh;
-    refresh_at_ = now + refresh * 3 / 4 + random_part(refresh / 2);
+    refresh_at_ = now + refresh * 3 / 4 + random_delay(refresh / 2);
     resolve_proposals(out);
     if (holder() != was_holder) {
         const auto* own = own_entry();
-        report(out, own == nullptr ? "not a holder"
-                                   : "holder of " + std::to_string(own->part) + " millionths");
+        report(out, own == nullptr ? "no longer a holder"
+                                   : "now holds " + std::to_string(own->part) + " millionths");
     }
     schedule_shared_work(now);
 }
 
-/// A change on a version that has passed either took effect before this record or never will.
+/// A change to an older version either took effect before this record or never will.
 void share_ledger::resolve_proposals(actions& out) {
     std::vector<vm_id> changed;
     for (const auto& open : unresolved_) {
@@ -185,7 +186,7 @@
 void share_ledger::retry_later(time_point now) {
     const auto& settings = context_.settings;
     retry_delay_ = std::clamp(retry_delay_ * 2, settings.shortest_retry, settings.longest_retry);
-    retry_at_ = now + retry_delay_ / 2 + random_part(retry_delay_);
+    retry_at_ = now + retry_delay_ / 2 + random_delay(retry_delay_);
 }
 
 void share_ledger::abandon_call() {
--- a/src/core/limits/token_donors.cpp
+++ b/src/core/limits/token_donors.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// First pause after an empty grant: about the time in which a busy share gets a new token.
+/// First backoff after an empty grant: about the time in which a busy share gains a token.
 constexpr duration empty_backoff = std::chrono::milliseconds{20};
-/// First pause after no answer at all: the donor is probably not reachable.
-constexpr duration silent_backoff = std::chrono::milliseconds{250};
-/// A donor with less than one token, or than this part of a smaller burst, is not worth a message.
+/// First backoff after a request without an answer: the donor is probably unreachable.
+constexpr duration timeout_backoff = std::chrono::milliseconds{250};
+/// A donor with less than one token, or less than this fraction of a smaller burst, is not asked.
 constexpr double smallest_burst_fraction = 0.5;
 constexpr double microseconds_per_second = 1e6;
 
@@ -25,7 +25,7 @@
     double best_score{0};
     for (const auto& option : candidates) {
         const double score = estimate(now, option) * option.preference;
-        if (askable_at(now, option) <= now && score > best_score) {
+        if (available_at(now, option) <= now && score > best_score) {
             best = &option;
             best_score = score;
         }
@@ -39,10 +39,10 @@
     double best_score{0};
     for (const auto& option : candidates) {
         const auto known = donors_.find(option.vm);
-        const bool waiting = known != donors_.end() && known->second.rate_after > now;
+        const bool waiting = known != donors_.end() && known->second.next_rate_request_at > now;
         const bool unreachable = known != donors_.end() && known->second.backoff >= longest_backoff;
-        const double score =
-            option.fraction * (estimate(now, option) + 1) / (option.fraction * whole_.burst + 1);
+        const double score = option.fraction * (estimate(now, option) + 1) /
+                             (option.fraction * fleet_limits_.burst + 1);
         if (!waiting && !unreachable && score > best_score) {
             best = &option;
             best_score = score;
@@ -51,10 +51,11 @@
     return best;
 }
 
-time_point token_donors::next_chance(time_point now, std::span<const candidate> candidates) const {
+time_point token_donors::next_request_time(time_point now,
+                                           std::span<const candidate> candidates) const {
     auto earliest = no_deadline;
     for (const auto& option : candidates) {
-        earliest = std::min(earliest, askable_at(now, option));
+        earliest = std::min(earliest, available_at(now, option));
     }
     return earliest;
 }
@@ -62,33 +63,33 @@
 double token_donors::estimate(time_point now, const candidate& option) const {
     const auto known = donors_.find(option.vm);
     if (known == donors_.end() || !known->second.left) {
-        return option.fraction * whole_.burst;
+        return option.fraction * fleet_limits_.burst;
     }
-    const auto age = static_cast<double>((now - known->second.heard).count());
-    const double refilled = option.fraction * whole_.rate * age / microseconds_per_second;
-    return std::min(option.fraction * whole_.burst, *known->second.left + refilled);
+    const auto age = static_cast<double>((now - known->second.updated_at).count());
+    const double refilled = option.fraction * fleet_limits_.rate * age / microseconds_per_second;
+    return std::min(option.fraction * fleet_limits_.burst, *known->second.left + refilled);
 }
 
-void token_donors::asked(request_id id, const vm_id& vm, double amount, time_point expiry) {
+void token_donors::request_sent(request_id id, const vm_id& vm, double amount, time_point expiry) {
     open_.insert_or_assign(id, open_request{vm, amount, expiry});
-    donors_[vm].busy = true;
+    donors_[vm].request_open = true;
 }
 
-void token_donors::asked_for_rate(time_point now, const vm_id& vm, duration pause) {
-    donors_[vm].rate_after = now + pause;
+void token_donors::rate_request_sent(time_point now, const vm_id& vm, duration pause) {
+    donors_[vm].next_rate_request_at = now + pause;
 }
 
-bool token_donors::granted(time_point now, request_id id, const vm_id& vm, double amount,
-                           double left) {
+bool token_donors::accept_grant(time_point now, request_id id, const vm_id& vm, double amount,
+                                double left) {
     const auto found = open_.find(id);
     if (found == open_.end() || found->second.donor != vm || now > found->second.expiry) {
         return false;
     }
     open_.erase(found);
     auto& known = donors_[vm];
-    known.busy = false;
+    known.request_open = false;
     known.left = std::max(0.0, left);
-    known.heard = now;
+    known.updated_at = now;
     if (amount > 0) {
         known.backoff = duration{0};
     } else {
@@ -108,9 +109,9 @@
             ++it;
             continue;
         }
-        auto& silent = donors_[it->second.donor];
-        silent.busy = false;
-        back_off(now, silent, silent_backoff);
+        auto& donor = donors_[it->second.donor];
+        donor.request_open = false;
+        back_off(now, donor, timeout_backoff);
         it = open_.erase(it);
     }
 }
@@ -131,23 +132,23 @@
     return earliest;
 }
 
-void token_donors::back_off(time_point now, donor_state& silent, duration shortest) {
-    silent.backoff = std::clamp(silent.backoff * 2, shortest, longest_backoff);
-    silent.ask_after = now + silent.backoff;
+void token_donors::back_off(time_point now, donor_state& donor, duration shortest) {
+    donor.backoff = std::clamp(donor.backoff * 2, shortest, longest_backoff);
+    donor.next_request_at = now + donor.backoff;
 }
 
-double token_donors::smallest_estimate(const candidate& option) const noexcept {
-    return std::min(1.0, option.fraction * whole_.burst * smallest_burst_fraction);
+double token_donors::smallest_useful_estimate(const candidate& option) const noexcept {
+    return std::min(1.0, option.fraction * fleet_limits_.burst * smallest_burst_fraction);
 }
 
-time_point token_donors::askable_at(time_point now, const candidate& option) const {
+time_point token_donors::available_at(time_point now, const candidate& option) const {
     const auto known = donors_.find(option.vm);
-    if (known != donors_.end() && known->second.busy) {
+    if (known != donors_.end() && known->second.request_open) {
         return no_deadline;
     }
-    const auto earliest = known == donors_.end() ? now : known->second.ask_after;
-    const double rate = option.fraction * whole_.rate;
-    const double missing = smallest_estimate(option) - estimate(now, option);
+    const auto earliest = known == donors_.end() ? now : known->second.next_request_at;
+    const double rate = option.fraction * fleet_limits_.rate;
+    const double missing = smallest_useful_estimate(option) - estimate(now, option);
     if (missing <= 0) {
         return earliest;
     }
