--- a/tests/core/limiter_fleet.hpp
+++ b/tests/core/limiter_fleet.hpp
@@ -68,15 +68,15 @@
         random_engine random;
         id_sequence<request_id> ids;
         std::unique_ptr<rate_limiter> limiter;
-        revision known; ///< Newest configuration that it got.
-        bool frozen{false};
+        revision known; ///< Newest configuration that it has received.
+        bool suspended{false};
         std::vector<std::function<void()>> backlog;
-        std::uint64_t generation{0}; ///< Of the scheduled tick.
+        std::uint64_t generation{0}; ///< Of the scheduled tick; older ticks are ignored.
     };
-    struct fate {
+    struct message_outcome {
         std::vector<duration> deliveries; ///< One per copy; none for a lost message.
     };
-    struct store_fate {
+    struct store_outcome {
         duration to{from_milliseconds(1)};
         duration back{from_milliseconds(1)};
         bool lost_request{false};
@@ -120,9 +120,9 @@
         queue.emplace(now + delay, std::move(work));
     }
 
-    /// Runs @a work on @a target, later if it is frozen, and carries its actions out.
+    /// Runs @a work on @a target, or once it resumes if it is suspended, and executes its actions.
     void on(node& target, const std::function<void(actions&)>& work) {
-        if (target.frozen) {
+        if (target.suspended) {
             const auto vm = target.entry.vm;
             const auto incarnation = target.incarnation.value();
             target.backlog.emplace_back([this, vm, incarnation, work] {
@@ -135,16 +135,16 @@
         actions out;
         work(out);
         for (auto& decision : target.limiter->take_decisions()) {
-            decided(target, decision);
+            on_decision(target, decision);
         }
         for (const auto& each : out) {
-            carry_out(target, each);
+            execute(target, each);
         }
         schedule(target);
     }
 
-    void thaw(node& target) {
-        target.frozen = false;
+    void resume(node& target) {
+        target.suspended = false;
         on(target, [&](actions& out) { target.limiter->paused(now, out); });
         for (const auto& work : std::exchange(target.backlog, {})) {
             work();
@@ -164,7 +164,7 @@
         });
     }
 
-    /// Tells every VM which VMs live.
+    /// Announces the live VMs to every VM.
     void announce_fleet(const std::set<vm_id>& gone = {}) {
         std::vector<vm_entry> live;
         for (const auto& each : nodes) {
@@ -181,7 +181,7 @@
 
     admission_state request(node& target) {
         auto state = admission_state::refused;
-        if (target.frozen) {
+        if (target.suspended) {
             return state;
         }
         on(target, [&](actions& out) {
@@ -189,13 +189,13 @@
                 target.limiter->admit(now, organisation, request_id{++handles}, no_deadline, out);
             state = verdict.state;
             if (state != admission_state::pending) {
-                decided(target, verdict);
+                on_decision(target, verdict);
             }
         });
         return state;
     }
 
-    /// Runs the schedule for @a time; `checked` runs after every event.
+    /// Runs the schedule for @a time; calls `after_event` after every event.
     void run(duration time) {
         const auto end = now + time;
         while (!queue.empty() && queue.begin()->first <= end) {
@@ -204,7 +204,7 @@
             const auto work = std::move(next->second);
             queue.erase(next);
             work();
-            checked();
+            after_event();
         }
         now = end;
     }
@@ -233,19 +233,17 @@
     fake_store store;
     std::multimap<time_point, std::function<void()>> queue;
     std::uint64_t handles{0};
-    std::function<fate(const peer_message&)> message_fate = [](const peer_message&) {
-        return fate{{from_milliseconds(1)}};
-    };
-    std::function<store_fate(const store_request&)> call_fate = [](const store_request&) {
-        return store_fate{};
-    };
-    std::function<void(node&, const admission&)> decided = [](node&, const admission&) {};
-    std::function<void()> checked = [] {};
+    std::function<message_outcome(const peer_message&)> choose_message_outcome =
+        [](const peer_message&) { return message_outcome{{from_milliseconds(1)}}; };
+    std::function<store_outcome(const store_request&)> choose_store_outcome =
+        [](const store_request&) { return store_outcome{}; };
+    std::function<void(node&, const admission&)> on_decision = [](node&, const admission&) {};
+    std::function<void()> after_event = [] {};
 
   private:
-    void carry_out(node& from, const action& ordered) {
+    void execute(node& from, const action& ordered) {
         if (const auto* message = std::get_if<send_to_peer>(&ordered)) {
-            for (const auto delay : message_fate(message->message).deliveries) {
+            for (const auto delay : choose_message_outcome(message->message).deliveries) {
                 at(delay,
                    [this, sender = from.entry.vm, sent = *message] { deliver(sender, sent); });
             }
@@ -263,7 +261,7 @@
     }
 
     void call_store(node& from, const store_request& request) {
-        const auto chosen = call_fate(request);
+        const auto chosen = choose_store_outcome(request);
         at(chosen.to,
            [this, chosen, request, vm = from.entry.vm, incarnation = from.incarnation.value()] {
                store_answer answer{request.id, store_status::unavailable, {}, 0, {}};
--- a/tests/core/rate_limiter_property_test.cpp
+++ b/tests/core/rate_limiter_property_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double tolerance = 1e-6;
-/// A lowered burst is in force once the tokens that were in transit have settled.
+/// A lowered burst takes effect once the tokens that were in transit have settled.
 constexpr duration settling = std::chrono::milliseconds{600};
 
 rate_limiter_settings fast_settings() {
@@ -21,7 +21,7 @@
     return settings;
 }
 
-/// One global bucket that is full at the start and sees the admitted requests.
+/// Reference: one global bucket that is full at the start and pays for all admitted requests.
 struct global_bucket {
     double level{0};
     time_point filled{};
@@ -37,11 +37,15 @@
 class random_schedule {
   public:
     explicit random_schedule(std::uint64_t seed) : fleet_{fast_settings(), seed} {
-        fleet_.message_fate = [this](const peer_message&) { return message_fate(); };
-        fleet_.call_fate = [this](const store_request&) { return call_fate(); };
-        fleet_.decided = [this](auto&, const admission& each) { decided(each); };
-        fleet_.checked = [this] { check(); };
-        rows_.push_back({chosen(20, 200), chosen(1, 60)});
+        fleet_.choose_message_outcome = [this](const peer_message&) {
+            return choose_message_outcome();
+        };
+        fleet_.choose_store_outcome = [this](const store_request&) {
+            return choose_store_outcome();
+        };
+        fleet_.on_decision = [this](auto&, const admission& each) { on_decision(each); };
+        fleet_.after_event = [this] { check(); };
+        rows_.push_back({uniform(20, 200), uniform(1, 60)});
         bucket_.level = rows_.back().burst;
         const auto vms = 2 + fleet_.random() % 5;
         for (std::uint64_t i = 0; i < vms; ++i) {
@@ -51,7 +55,7 @@
 
     void run() {
         arrive();
-        disturb();
+        inject_faults();
         fleet_.run(std::chrono::seconds{12});
     }
 
@@ -62,23 +66,23 @@
   private:
     using node = limiter_fleet::node;
 
-    double chosen(double low, double high) {
+    double uniform(double low, double high) {
         return std::uniform_real_distribution<double>{low, high}(fleet_.random);
     }
-    bool happens(double probability) { return chosen(0, 1) < probability; }
+    bool happens(double probability) { return uniform(0, 1) < probability; }
     duration up_to(std::int64_t milliseconds) {
-        return from_milliseconds(static_cast<std::int64_t>(chosen(0, 1) * double(milliseconds)));
+        return from_milliseconds(static_cast<std::int64_t>(uniform(0, 1) * double(milliseconds)));
     }
 
-    limiter_fleet::fate message_fate() {
-        limiter_fleet::fate fate;
+    limiter_fleet::message_outcome choose_message_outcome() {
+        limiter_fleet::message_outcome outcome;
         const int copies = happens(0.1) ? 0 : happens(0.1) ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            fate.deliveries.push_back(happens(0.1) ? up_to(900) : up_to(12));
+            outcome.deliveries.push_back(happens(0.1) ? up_to(900) : up_to(12));
         }
-        return fate;
+        return outcome;
     }
-    limiter_fleet::store_fate call_fate() {
+    limiter_fleet::store_outcome choose_store_outcome() {
         const bool slow = happens(0.05);
         return {up_to(slow ? 900 : 10), up_to(slow ? 900 : 10), happens(0.05), happens(0.15)};
     }
@@ -94,7 +98,7 @@
             // Uneven callers: the first VM gets half of all requests.
             fleet_.request(happens(0.5) ? *fleet_.nodes.front() : *target);
         }
-        const double gap = chosen(0, 2) / (rows_.back().rate * 1.2);
+        const double gap = uniform(0, 2) / (rows_.back().rate * 1.2);
         fleet_.at(duration{static_cast<duration::rep>(gap * 1e6) + 1}, [this] { arrive(); });
     }
 
@@ -103,14 +107,14 @@
                                     : fleet_.nodes[fleet_.random() % fleet_.nodes.size()].get();
     }
 
-    void disturb() {
+    void inject_faults() {
         fleet_.at(up_to(1200), [this] {
-            disturb_once();
-            disturb();
+            inject_fault();
+            inject_faults();
         });
     }
 
-    void disturb_once() {
+    void inject_fault() {
         auto* target = any_node();
         switch (target == nullptr ? 0 : fleet_.random() % 8) {
         case 0:
@@ -121,7 +125,7 @@
             change_rate();
             break;
         case 3:
-            freeze(*target);
+            suspend(*target);
             break;
         case 4:
             kill(*target);
@@ -141,7 +145,7 @@
     }
 
     void change_rate() {
-        rows_.push_back({chosen(20, 200), chosen(1, 60)});
+        rows_.push_back({uniform(20, 200), uniform(1, 60)});
         for (auto& each : fleet_.nodes) {
             fleet_.at(up_to(1500), [this, vm = each->entry.vm, newer = rows_.size()] {
                 if (auto* same = fleet_.find(vm)) {
@@ -151,9 +155,9 @@
         }
     }
 
-    /// A long freeze makes the platform replace the VM while it still exists.
-    void freeze(node& target) {
-        target.frozen = true;
+    /// A long suspension makes the platform replace the VM while it still exists.
+    void suspend(node& target) {
+        target.suspended = true;
         const auto vm = target.entry.vm;
         const auto incarnation = target.incarnation.value();
         if (happens(0.5)) {
@@ -161,9 +165,9 @@
         }
         fleet_.at(from_milliseconds(1000) + up_to(6000), [this, vm, incarnation] {
             if (auto* same = fleet_.find(vm, incarnation)) {
-                fleet_.thaw(*same);
+                fleet_.resume(*same);
             }
-            fleet_.at(up_to(1000), [this, vm] { // Peers hear it again.
+            fleet_.at(up_to(1000), [this, vm] { // Peers receive its messages again.
                 if (fleet_.find(vm) != nullptr) {
                     gone_.erase(vm);
                     fleet_.announce_fleet(gone_);
@@ -180,26 +184,26 @@
 
     void delist(const vm_id& vm) {
         fleet_.at(up_to(1500), [this, vm] {
-            if (auto* same = fleet_.find(vm); same != nullptr && !same->frozen) {
-                return; // Peers hear it.
+            if (auto* same = fleet_.find(vm); same != nullptr && !same->suspended) {
+                return; // Peers receive its messages.
             }
             gone_.insert(vm);
             fleet_.announce_fleet(gone_);
         });
     }
 
-    /// A new process with the same VM id, at once.
+    /// Replaces the process at once by one with the same VM id and the next incarnation.
     void replace(node& target) {
         const auto vm = target.entry.vm;
         const auto next = target.incarnation.value() + 1;
-        if (gone_.contains(vm) || target.frozen) {
+        if (gone_.contains(vm) || target.suspended) {
             return;
         }
         fleet_.kill(target);
         start_vm(vm.str(), next);
     }
 
-    /// Highest limits among the revisions that some VM took for the newest a short time ago.
+    /// Highest limits among the revisions that some VM has considered the newest within `settling`.
     share_limits bound() {
         auto oldest = revision{rows_.size()};
         for (const auto& each : fleet_.nodes) {
@@ -226,18 +230,18 @@
         share_limits used;
         for (const auto& each : fleet_.nodes) {
             const auto* limiter = each->limiter->find(fleet_.organisation);
-            if (each->frozen || limiter == nullptr || !limiter->ledger().verified()) {
+            if (each->suspended || limiter == nullptr || !limiter->ledger().verified()) {
                 continue;
             }
             used.rate += limiter->bucket().rate();
             used.burst += limiter->bucket().tokens(fleet_.now) + limiter->bucket().reserved();
         }
         bucket_.refill(fleet_.now, limit);
-        expect(used.rate <= limit.rate + tolerance, "rate parts", used.rate, limit.rate);
+        expect(used.rate <= limit.rate + tolerance, "sum of the rate parts", used.rate, limit.rate);
         expect(used.burst <= limit.burst + tolerance, "tokens", used.burst, limit.burst);
     }
 
-    void decided(const admission& each) {
+    void on_decision(const admission& each) {
         if (each.state != admission_state::admitted) {
             ++refused;
             return;
@@ -276,7 +280,7 @@
         ASSERT_EQ(schedule.failure, "") << "seed " << seed;
         admitted += schedule.admitted;
     }
-    EXPECT_GT(admitted, 10000); // Schedules that admit nothing would prove nothing.
+    EXPECT_GT(admitted, 10000); // Schedules that admit nothing would pass trivially.
     RecordProperty("admitted", admitted);
 }
 
--- a/tests/core/rate_limiter_test.cpp
+++ b/tests/core/rate_limiter_test.cpp
@@ -19,13 +19,13 @@
         for (auto& each : fleet.nodes) {
             (fleet.ledger(*each).holder() ? holders : others).push_back(each.get());
         }
-        fleet.decided = [this](auto& /*at*/, const admission& each) {
+        fleet.on_decision = [this](auto& /*at*/, const admission& each) {
             ++(each.state == admission_state::admitted ? admitted : refused);
             last = each;
         };
-        fleet.message_fate = [this](const peer_message& message) {
+        fleet.choose_message_outcome = [this](const peer_message& message) {
             ++sent[method_of(message)];
-            return limiter_fleet::fate{{from_milliseconds(1)}};
+            return limiter_fleet::message_outcome{{from_milliseconds(1)}};
         };
     }
 
@@ -39,7 +39,7 @@
     admission last;
 };
 
-/// Guards against tokens that stay where nobody needs them.
+/// Guards against a burst at one VM that is refused although other holders have tokens.
 TEST_F(RateLimiter, BurstAtOneVmUsesTheTokensOfAll) {
     ASSERT_EQ(holders.size(), 3U);
     for (int i = 0; i < 30; ++i) {
@@ -60,9 +60,11 @@
     EXPECT_EQ(fleet.limiter(*others[0]).bucket().tokens(fleet.now), 0);
 }
 
-/// Guards against requests that wait without end for a donor that does not answer.
+/// Guards against requests that wait indefinitely for a donor that does not answer.
 TEST_F(RateLimiter, PendingRequestIsRefusedWithRetryTimeAfterTheLimit) {
-    fleet.message_fate = [](const peer_message&) { return limiter_fleet::fate{}; };
+    fleet.choose_message_outcome = [](const peer_message&) {
+        return limiter_fleet::message_outcome{};
+    };
     EXPECT_EQ(fleet.request(*others[0]), admission_state::pending);
     fleet.run(from_milliseconds(49));
     EXPECT_EQ(refused, 0);
@@ -75,9 +77,9 @@
 
 /// Guards against a grant that is used after its donor has freed the capacity.
 TEST_F(RateLimiter, LateGrantIsNotUsed) {
-    fleet.message_fate = [](const peer_message& message) {
+    fleet.choose_message_outcome = [](const peer_message& message) {
         const bool grant = std::holds_alternative<token_grant>(message);
-        return limiter_fleet::fate{{from_milliseconds(grant ? 151 : 1)}};
+        return limiter_fleet::message_outcome{{from_milliseconds(grant ? 151 : 1)}};
     };
     EXPECT_EQ(fleet.request(*others[0]), admission_state::pending);
     fleet.run(from_milliseconds(155));
@@ -92,11 +94,11 @@
 /// Guards against a late grant that is used because it comes before the overdue tick.
 TEST_F(RateLimiter, LateGrantIsNotUsedBeforeTheTickEither) {
     request_id asked;
-    fleet.message_fate = [&](const peer_message& message) {
+    fleet.choose_message_outcome = [&](const peer_message& message) {
         if (const auto* request = std::get_if<token_request>(&message)) {
             asked = request->id;
         }
-        return limiter_fleet::fate{};
+        return limiter_fleet::message_outcome{};
     };
     EXPECT_EQ(fleet.request(*others[0]), admission_state::pending);
     fleet.now += from_milliseconds(151);
@@ -122,7 +124,7 @@
     EXPECT_LE(sent["share.request"], length * 4);
 }
 
-/// Guards against rate that stays with VMs that see no callers.
+/// Guards against rate that stays with VMs that have no callers.
 TEST_F(RateLimiter, RateMovesToTheVmWithTheCallers) {
     for (int i = 0; i < 20 * 70; ++i) {
         fleet.request(*holders[0]);
@@ -147,19 +149,19 @@
     }
 }
 
-/// Guards against parts of a token that are stored at a VM without a share: together with the
+/// Guards against fractions of a token that are stored at a VM without a share: together with the
 /// donors' refilled buckets they would exceed the burst.
 TEST_F(RateLimiter, PartsOfATokenAreGivenUpWithTheRequest) {
     fleet.configure_all(2, 10, 1);
     fleet.run(seconds{1});
-    fleet.message_fate = [this](const peer_message& message) {
+    fleet.choose_message_outcome = [this](const peer_message& message) {
         const bool grant = std::holds_alternative<token_grant>(message);
         grants += grant ? 1 : 0;
-        return grant && grants == 3 ? limiter_fleet::fate{}
-                                    : limiter_fleet::fate{{from_milliseconds(1)}};
+        return grant && grants == 3 ? limiter_fleet::message_outcome{}
+                                    : limiter_fleet::message_outcome{{from_milliseconds(1)}};
     };
     EXPECT_EQ(fleet.request(*others[0]), admission_state::pending);
-    fleet.run(from_milliseconds(60)); // Two of three parts came, and the caller was refused.
+    fleet.run(from_milliseconds(60)); // Two of three fractions arrived; the caller was refused.
     EXPECT_EQ(refused, 1);
     fleet.run(seconds{1});
     EXPECT_EQ(fleet.request(*others[0]), admission_state::pending);
@@ -171,7 +173,7 @@
     }
 }
 
-/// Guards against an organisation without a row that is served.
+/// Guards against serving an organisation that has no row in the configuration.
 TEST_F(RateLimiter, OrganisationWithoutRowIsRefused) {
     fleet.on(*holders[0], [&](actions& out) {
         const auto verdict = holders[0]->limiter->admit(fleet.now, organisation_id{"other"},
--- a/tests/core/share_ledger_test.cpp
+++ b/tests/core/share_ledger_test.cpp
@@ -47,22 +47,24 @@
         const auto* holder = record.find(vm_id{vm});
         return holder == nullptr ? 0 : holder->part;
     }
-    /// Tells @a giver that @a asker sees more demand than its rate.
-    void ask_for_rate(limiter_fleet::node& giver, const char* asker, double demand) {
-        fleet.on(giver, [this, &giver, asker, demand](actions& out) {
-            giver.limiter->on_peer(fleet.now, vm_id{asker},
+    /// Sends @a donor a request of @a asker for more rate, with the demand that it sees.
+    void ask_for_rate(limiter_fleet::node& donor, const char* asker, double demand) {
+        fleet.on(donor, [this, &donor, asker, demand](actions& out) {
+            donor.limiter->on_peer(fleet.now, vm_id{asker},
                                    share_request{fleet.organisation, demand, 30}, out);
         });
     }
     /// Lets the next write of a share record take effect and loses its answer.
     void lose_next_answer() {
-        fleet.call_fate = [this](const store_request& request) {
-            limiter_fleet::store_fate fate;
+        fleet.choose_store_outcome = [this](const store_request& request) {
+            limiter_fleet::store_outcome outcome;
             if (request.operation == store_operation::compare_and_swap) {
-                fate.lost_answer = true;
-                fleet.call_fate = [](const store_request&) { return limiter_fleet::store_fate{}; };
+                outcome.lost_answer = true;
+                fleet.choose_store_outcome = [](const store_request&) {
+                    return limiter_fleet::store_outcome{};
+                };
             }
-            return fate;
+            return outcome;
         };
     }
     void kill_and_forget(limiter_fleet::node& victim) {
@@ -94,11 +96,11 @@
     EXPECT_LE(rate_of(*a) + rate_of(late), 30.01);
 }
 
-/// Guards against a giver that lowers its own limit only after the record has changed, and a
+/// Guards against a donor that lowers its own limit only after the record has changed, and a
 /// receiver that gets tokens with the moved capacity.
 TEST_F(ShareLedger, GiverClampsBeforeTheRecordChangesAndReceiverStartsEmpty) {
-    fleet.call_fate = [](const store_request&) {
-        return limiter_fleet::store_fate{seconds{1}, seconds{1}, false, false};
+    fleet.choose_store_outcome = [](const store_request&) {
+        return limiter_fleet::store_outcome{seconds{1}, seconds{1}, false, false};
     };
     while (tokens_of(*b) >= 1) {
         EXPECT_EQ(fleet.request(*b), admission_state::admitted);
@@ -113,7 +115,7 @@
     EXPECT_NEAR(rate_of(*a) + rate_of(*b) + rate_of(*c), 90, 0.1);
 }
 
-/// Guards against a giver that uses a part again because the store's answer was lost.
+/// Guards against a donor that uses a part again because the store's answer was lost.
 TEST_F(ShareLedger, LostAnswerCountsAsGivenUntilReadBack) {
     lose_next_answer();
     ask_for_rate(*a, "b", 60);
@@ -125,25 +127,26 @@
     EXPECT_NEAR(rate_of(*b), 60 - kept, 0.01);
 }
 
-/// Guards against a lost request that still takes effect after the giver has read the record back
-/// at the old version and has taken its part again.
+/// Guards against a lost request that still takes effect after the donor has read the record back
+/// at the old version and uses its part again.
 TEST_F(ShareLedger, DelayedChangeCannotTakeEffectAfterTheReadBack) {
     store_request delayed;
-    fleet.call_fate = [&](const store_request& request) {
-        limiter_fleet::store_fate fate;
+    fleet.choose_store_outcome = [&](const store_request& request) {
+        limiter_fleet::store_outcome outcome;
         if (request.operation == store_operation::compare_and_swap && delayed.key.empty()) {
             delayed = request;
-            fate.lost_request = true;
+            outcome.lost_request = true;
         }
-        return fate;
+        return outcome;
     };
     ask_for_rate(*a, "b", 60);
     fleet.run(seconds{3});
-    EXPECT_NEAR(rate_of(*a), 30, 0.01); // Read back, and made sure of by an equal record.
+    EXPECT_NEAR(rate_of(*a), 30, 0.01); // Read back, and confirmed by writing an equal record.
     EXPECT_EQ(fleet.store.call(fleet.now, delayed).status, store_status::conflict);
 }
 
-/// Guards against a move that survives a rate change by an operator, or undoes it.
+/// Guards against a transfer that keeps the old rate across an operator's rate change, or undoes
+/// the change.
 TEST_F(ShareLedger, RateChangeDuringAMoveKeepsTheSum) {
     ask_for_rate(*a, "b", 60);
     fleet.configure_all(2, 45, 15);
@@ -156,7 +159,7 @@
     EXPECT_EQ(fleet.store.calls, calls); // A change of rates costs no store call.
 }
 
-/// Guards against a share that is taken from a VM that was never listed, or is heard by a peer.
+/// Guards against reclaiming the share of a VM that was never listed, or that still reaches a peer.
 TEST_F(ShareLedger, VmThatIsNotListedYetIsNotGone) {
     auto record = fleet.record();
     record.holders[0].vm = vm_id{"unknown"};
@@ -179,8 +182,9 @@
 
 /// Guards against two reclaimers whose writes both count.
 TEST_F(ShareLedger, RacingReclaimersAddThePartOnce) {
-    fleet.call_fate = [](const store_request&) { // Both read the lease before either writes.
-        return limiter_fleet::store_fate{seconds{2}, seconds{2}, false, false};
+    // Both read the lease before either writes.
+    fleet.choose_store_outcome = [](const store_request&) {
+        return limiter_fleet::store_outcome{seconds{2}, seconds{2}, false, false};
     };
     kill_and_forget(*c);
     fleet.run(seconds{120});
@@ -192,12 +196,12 @@
 
 /// Guards against a paused holder that uses a share which others have reclaimed meanwhile.
 TEST_F(ShareLedger, PausedHolderStopsUntilItsEntryIsConfirmed) {
-    c->frozen = true;
+    c->suspended = true;
     fleet.announce_fleet({vm_id{"c"}});
     fleet.run(seconds{70});
     ASSERT_NEAR(rate_of(*a) + rate_of(*b), 90, 0.1);
     fleet.store.down = true;
-    fleet.thaw(*c);
+    fleet.resume(*c);
     EXPECT_FALSE(fleet.ledger(*c).verified());
     EXPECT_NE(fleet.request(*c), admission_state::admitted);
     fleet.store.down = false;
@@ -208,13 +212,13 @@
 
 /// Guards against a short pause that stops a share needlessly.
 TEST_F(ShareLedger, PauseWithinTheLeaseChangesNothing) {
-    c->frozen = true;
+    c->suspended = true;
     fleet.run(seconds{5});
-    fleet.thaw(*c);
+    fleet.resume(*c);
     EXPECT_EQ(fleet.request(*c), admission_state::admitted);
 }
 
-/// Guards against a burst part that is given away or given back while tokens that were granted
+/// Guards against a burst part that is transferred or released while tokens that were granted
 /// from it are in transit; its new holder could refill it and the total exceed the burst.
 TEST_F(ShareLedger, TokensInTransitKeepTheirCapacity) {
     const auto grant_tokens = [this](limiter_fleet::node& donor) {
@@ -226,7 +230,9 @@
         });
         return fleet.limiter(donor).bucket().reserved();
     };
-    fleet.message_fate = [](const peer_message&) { return limiter_fleet::fate{}; };
+    fleet.choose_message_outcome = [](const peer_message&) {
+        return limiter_fleet::message_outcome{};
+    };
     EXPECT_NEAR(grant_tokens(*a), 9, 0.01);
     ask_for_rate(*a, "b", 200);
     EXPECT_GE(fleet.limiter(*a).bucket().capacity(), 9);
@@ -251,7 +257,7 @@
     EXPECT_NEAR(rate_of(*a) + rate_of(*b), 90, 0.1);
 }
 
-/// Guards against record reads by polling.
+/// Guards against reading the records by frequent polling.
 TEST(ShareLedgerCost, IdleFleetCallsTheStoreRarely) {
     limiter_fleet fleet{rate_limiter_settings{}};
     for (int i = 0; i < 9; ++i) {
@@ -262,7 +268,8 @@
     fleet.run(seconds{20});
     const int before = fleet.store.calls;
     fleet.run(seconds{600});
-    // One lease renewal per VM and 10 s whatever the organisations, and here one record.
+    // One lease renewal per VM every 10 s for any number of organisations; here there is one
+    // record.
     constexpr double leases_per_second = 0.9;
     constexpr double organisations = 8;
     const double records = (fleet.store.calls - before) / 600.0 - leases_per_second;
@@ -288,7 +295,7 @@
         chosen.joining = seconds{10};
         return chosen;
     }
-    /// Tells every VM of the first @a count VMs and itself.
+    /// Announces the first @a count VMs and the receiver itself to every VM.
     void announce_first(std::size_t count) {
         for (auto& each : fleet.nodes) {
             std::vector<vm_entry> live;
@@ -313,8 +320,8 @@
     limiter_fleet fleet;
 };
 
-/// Guards against parts that stay with VMs that joined while they knew few others: nobody asks
-/// them for tokens, and requests are refused below the limit.
+/// Guards against parts that stay with VMs that joined while they knew few others: no VM asks them
+/// for tokens, and requests are refused below the limit.
 TEST_F(LargeFleet, PartsOfEarlyJoinersReachTheTargets) {
     fleet.configure_all(1, 90, 30);
     for (const std::size_t count : {1U, 3U, 6U, 9U, 12U}) {
@@ -326,7 +333,7 @@
     EXPECT_EQ(fleet.record().holders.size(), 3U);
 }
 
-/// Guards against a part that stays with a VM that has started again and is no target now: it does
+/// Guards against a part that stays with a VM that has restarted and is no longer a target: it does
 /// not read the record by itself.
 TEST_F(LargeFleet, PartOfAnEarlierLifeReachesTheTargets) {
     std::vector<const vm_entry*> live;
@@ -334,24 +341,25 @@
         live.push_back(&each->entry);
     }
     const auto targets = share_holders(fleet.group(), live, 1, 3);
-    const auto stray = std::find_if(fleet.nodes.begin(), fleet.nodes.end(), [&](const auto& each) {
-        return std::find(targets.begin(), targets.end(), each->entry.vm) == targets.end();
-    });
-    const share_record old{{{(*stray)->entry.vm, vm_incarnation{0}, whole_share / 2}}};
+    const auto non_target =
+        std::find_if(fleet.nodes.begin(), fleet.nodes.end(), [&](const auto& each) {
+            return std::find(targets.begin(), targets.end(), each->entry.vm) == targets.end();
+        });
+    const share_record old{{{(*non_target)->entry.vm, vm_incarnation{0}, whole_share / 2}}};
     fleet.store.values[share_key(fleet.group())] = {write_json(to_json(old)), 1};
     fleet.configure_all(1, 90, 30);
     fleet.announce_fleet();
     fleet.run(seconds{20});
     EXPECT_GT(part_of_targets(), whole_share * 98 / 100);
-    EXPECT_EQ(fleet.record().find((*stray)->entry.vm), nullptr);
+    EXPECT_EQ(fleet.record().find((*non_target)->entry.vm), nullptr);
 }
 
 /// Guards against a read of every record by every VM at its start.
 TEST_F(LargeFleet, VmWithoutShareDoesNotReadTheRecordAtItsStart) {
     int reads{0};
-    fleet.call_fate = [&](const store_request& request) {
+    fleet.choose_store_outcome = [&](const store_request& request) {
         reads += request.operation == store_operation::read ? 1 : 0;
-        return limiter_fleet::store_fate{};
+        return limiter_fleet::store_outcome{};
     };
     fleet.configure_all(1, 90, 30);
     fleet.announce_fleet();
@@ -359,14 +367,16 @@
     EXPECT_LE(reads, 6); // Each holder reads when it starts and after a notice.
 }
 
-/// Guards against a caller of a VM without a share that waits for a join that does not come.
+/// Guards against a caller of a VM without a share that waits for a join that never happens.
 TEST_F(LargeFleet, VmWithoutShareDoesNotWaitToJoin) {
     fleet.configure_all(1, 90, 30);
     fleet.announce_fleet();
     fleet.run(seconds{4});
-    fleet.message_fate = [](const peer_message&) { return limiter_fleet::fate{}; };
+    fleet.choose_message_outcome = [](const peer_message&) {
+        return limiter_fleet::message_outcome{};
+    };
     admission last;
-    fleet.decided = [&](auto& /*at*/, const admission& each) { last = each; };
+    fleet.on_decision = [&](auto& /*at*/, const admission& each) { last = each; };
     const auto other = std::find_if(fleet.nodes.begin(), fleet.nodes.end(), [&](const auto& each) {
         return !fleet.ledger(*each).target();
     });
@@ -375,7 +385,7 @@
     EXPECT_EQ(last.state, admission_state::refused);
 }
 
-/// Guards against a VM that takes part in no rate because it knew the fleet before its first
+/// Guards against a VM that gets no share because it knew the fleet before its first
 /// configuration, as after a restart of all VMs.
 TEST_F(LargeFleet, ConfigurationThatComesAfterTheFleetIsDividedToo) {
     fleet.announce_fleet();
@@ -386,7 +396,7 @@
     EXPECT_GT(part_of_targets(), whole_share * 98 / 100);
 }
 
-/// A fleet with many organisations, and what it costs.
+/// A fleet with many organisations, for checks of its cost in store calls and state.
 class ManyOrganisations : public testing::TestWithParam<std::size_t> {
   protected:
     static constexpr std::size_t vms = 30;
@@ -426,7 +436,7 @@
     configure(GetParam());
     fleet.announce_fleet();
     fleet.run(seconds{60});
-    // Of each group its holders read, join and confirm; the others do nothing.
+    // Only the holders of a group read, join and confirm; the other VMs make no calls for it.
     const auto groups = fleet.settings.groups;
     const std::uint32_t leases = 7 * vms;
     EXPECT_LE(fleet.store.calls, static_cast<int>(groups * holders * 6 + leases));
