--- a/src/core/sessions/backend_chooser.cpp
+++ b/src/core/sessions/backend_chooser.cpp
@@ -7,16 +7,16 @@
 namespace jackdawvane {
 
 duration read_cost(const read_candidate& candidate, const chooser_settings& settings) {
-    const auto answer = candidate.mean_answer > duration{0}
-                            ? candidate.mean_answer
-                            : candidate.distance + settings.usual_answer;
+    const auto answer = candidate.mean_answer_time > duration{0}
+                            ? candidate.mean_answer_time
+                            : candidate.distance + settings.default_answer_time;
     // Statements beyond the slots wait for one of those before them.
     const auto slots = static_cast<std::int64_t>(std::max(1U, candidate.slots));
     const auto waiting = answer * static_cast<std::int64_t>(candidate.running) / slots;
     auto cost = answer + waiting;
     const std::pair<bool, duration> penalties[]{{candidate.primary, settings.primary_penalty},
-                                                {candidate.behind, settings.behind_penalty},
-                                                {candidate.cold, settings.cold_penalty},
+                                                {candidate.lagging, settings.lag_penalty},
+                                                {candidate.warming_up, settings.warm_up_penalty},
                                                 {candidate.leaving, settings.leaving_penalty},
                                                 {candidate.last_used, -settings.last_used_bonus}};
     for (const auto& [applies, penalty] : penalties) {
--- a/src/core/sessions/statement_placement.cpp
+++ b/src/core/sessions/statement_placement.cpp
@@ -156,14 +156,14 @@
         read_candidate candidate;
         candidate.backend = backend;
         candidate.distance = distance_to(registration);
-        candidate.mean_answer = gateway_.latency(now, backend).value_or(duration{0});
+        candidate.mean_answer_time = gateway_.latency(now, backend).value_or(duration{0});
         candidate.running = gateway_.running(backend);
         candidate.slots = registration.slots;
         candidate.primary = primary;
         candidate.last_used = session.last_backend == backend;
         const auto received = leadership.received(backend);
-        candidate.behind = !proved_primary && received && wanted && *received < *wanted;
-        candidate.cold = registration.warm_up_left > duration{0};
+        candidate.lagging = !proved_primary && received && wanted && *received < *wanted;
+        candidate.warming_up = registration.warm_up_left > duration{0};
         candidate.leaving = registration.leaving || entry.absent_since != no_deadline;
         found.push_back(candidate);
     }
--- a/tests/core/backend_chooser_test.cpp
+++ b/tests/core/backend_chooser_test.cpp
@@ -9,7 +9,7 @@
 
 struct chooser_case {
     const char* name;
-    read_candidate other; ///< Against a near, idle replica with the usual answer time.
+    read_candidate other; ///< Compared with a near, idle replica with the default answer time.
     bool other_wins;
 };
 
@@ -40,13 +40,15 @@
     ::testing::Values(
         chooser_case{"distant", changed([](auto& c) { c.distance = milliseconds{17}; }), false},
         chooser_case{"primary", changed([](auto& c) { c.primary = true; }), false},
-        chooser_case{"slow", changed([](auto& c) { c.mean_answer = milliseconds{200}; }), false},
+        chooser_case{"slow", changed([](auto& c) { c.mean_answer_time = milliseconds{200}; }),
+                     false},
         chooser_case{"loaded", changed([](auto& c) { c.running = 4; }), false},
-        chooser_case{"behind", changed([](auto& c) { c.behind = true; }), false},
-        chooser_case{"cold", changed([](auto& c) { c.cold = true; }), false},
+        chooser_case{"behind", changed([](auto& c) { c.lagging = true; }), false},
+        chooser_case{"cold", changed([](auto& c) { c.warming_up = true; }), false},
         chooser_case{"leaving", changed([](auto& c) { c.leaving = true; }), false},
         chooser_case{"last_used", changed([](auto& c) { c.last_used = true; }), true},
-        chooser_case{"quick", changed([](auto& c) { c.mean_answer = milliseconds{5}; }), true}),
+        chooser_case{"quick", changed([](auto& c) { c.mean_answer_time = milliseconds{5}; }),
+                     true}),
     [](const auto& each) { return each.param.name; });
 
 TEST(BackendChooserLoad, DistantServerTakesOverFromALoadedOne) {
