--- a/include/jackdawvane/sessions/statement_executor.hpp
+++ b/include/jackdawvane/sessions/statement_executor.hpp
@@ -33,53 +33,58 @@
     virtual void withdraw(session_id session) = 0;
 };
 
-/// @brief Times of the statement executor.
+/// @brief Time limits, delays and queue limits of the statement executor.
 struct executor_settings {
     chooser_settings choice;
-    /// A read without an answer is also sent elsewhere after this part of its timeout.
+    /// A read without an answer is hedged, that is also sent to another server, after its timeout
+    /// divided by this.
     int hedge_divisor{3};
-    /// A statement that cannot be placed is refused this long before its timeout, so that the
-    /// refusal arrives in time.
+    /// A statement for which no backend server is available is refused this long before its
+    /// timeout, so that the refusal reaches the caller in time.
     duration refusal_margin{std::chrono::milliseconds{60}};
-    /// Nothing is sent to a primary that no VM has heard for this long: what a silent server is
-    /// sent ends as unknown, what waits can be refused as not run. Above the status interval, the
-    /// question to the observer and the round trips.
+    /// No statement is sent to a primary that has not answered any VM for this long: a write sent
+    /// to an unresponsive server ends with an unknown outcome, while a waiting one can still be
+    /// refused as not run. Exceeds the sum of the status interval, the query to the observer and
+    /// the round trips.
     duration primary_silence{std::chrono::milliseconds{700}};
-    /// A leaving backend server gets new work for this long after the last reading that listed it
-    /// as staying. It serves on for 7 s at least after it has said that it leaves, and a statement
-    /// may wait up to 850 ms for a connection.
-    duration leaving_use{std::chrono::milliseconds{4500}};
-    /// Evidence older than this is asked for again with the next statement that needs it, before
-    /// it runs out.
-    duration evidence_refresh{std::chrono::milliseconds{400}};
-    /// Between two tries of a statement that a backend server had no room for.
-    duration retry_pause{std::chrono::milliseconds{20}};
-    /// Longest wait for proof that the primary of an answered write was not replaced.
+    /// A leaving backend server gets new statements for this long after the last read of the
+    /// registry that did not list it as leaving. It serves for at least 7 s after it has announced
+    /// that it leaves, and a statement may wait up to 850 ms for a connection.
+    duration leaving_use_limit{std::chrono::milliseconds{4500}};
+    /// The next statement that needs evidence of the leadership requests new evidence when the
+    /// present one is older than this, so that it is renewed before it expires.
+    duration evidence_refresh_age{std::chrono::milliseconds{400}};
+    /// Delay between two attempts at the same backend server, for example when it had no capacity.
+    duration retry_delay{std::chrono::milliseconds{20}};
+    /// Longest wait, after the answer to a commit, for evidence that its primary was not replaced.
     duration confirmation_limit{std::chrono::milliseconds{700}};
-    /// What a refused caller is told to wait when nothing better is known.
+    /// Wait that a refusal suggests to the caller when the rate limiter gives none.
     duration default_retry_after{std::chrono::milliseconds{200}};
-    duration domain_round_trip{std::chrono::milliseconds{1}};
-    duration region_round_trip{std::chrono::milliseconds{2}};
-    duration far_round_trip{std::chrono::milliseconds{17}};
-    /// A session that starts before the first configuration is known waits this long for it;
-    /// callers wait two seconds for the greeting.
-    duration start_wait{std::chrono::milliseconds{1700}};
-    /// Statements that a session may have sent ahead.
+    duration same_domain_round_trip{std::chrono::milliseconds{1}};
+    duration same_region_round_trip{std::chrono::milliseconds{2}};
+    duration cross_region_round_trip{std::chrono::milliseconds{17}};
+    /// A session that starts before the first configuration is known waits this long for it.
+    /// Below the 2 s for which callers wait for the session to be accepted.
+    duration configuration_wait{std::chrono::milliseconds{1700}};
+    /// Statements of a session that may be queued behind the one being run.
     std::size_t pipeline_limit{32};
-    /// The balancer sends no new connections this long after the first failed readiness check.
-    duration balancer_delay{std::chrono::milliseconds{2300}};
-    duration grace{std::chrono::seconds{6}}; ///< From the stop signal to the kill.
+    /// Time after the first failed readiness check until the load balancer opens no more
+    /// connections.
+    duration load_balancer_delay{std::chrono::milliseconds{2300}};
+    duration grace{std::chrono::seconds{6}}; ///< Time from the stop signal to the kill signal.
+    /// The graceful shutdown ends this long before the kill signal, even if sessions remain.
     duration exit_margin{std::chrono::milliseconds{1200}};
 };
 
 /// @brief Runs the statements of callers' sessions on backend servers.
 ///
-/// Filters before a statement is placed: session state, route, key, rate. Reads go to the server
-/// that is expected to answer first and can prove to be new enough; writes and transactions that
-/// may write go to the primary while its leadership is proved.
+/// A statement is checked against the session's state, the route, the key and the rate limit
+/// before a backend server is chosen. Reads go to the server that is expected to answer first;
+/// a replica runs them only once it has reached the required log point. Writes and transactions
+/// that may write go to the primary while its leadership is confirmed.
 class statement_executor {
   public:
-    /// @param last_attempt attempts are numbered after this one
+    /// @param last_attempt the first attempt gets the id after this one
     statement_executor(fleet_state& state, member_gateway& gateway, admission_service& limits,
                        executor_settings settings, attempt_id last_attempt = {});
 
@@ -88,19 +93,21 @@
     void on(time_point now, const session_broken& what, proxy_output& out);
     void on(time_point now, const session_closed& what, proxy_output& out);
     void on_admission(time_point now, const admission& decision, proxy_output& out);
-    /// @brief Starts the sessions that wait for a configuration, or refuses those that waited long.
-    void start_waiting(time_point now, proxy_output& out);
-    /// @brief Handles ended attempts and places what waits.
+    /// @brief Opens the sessions that wait for the first configuration once it is known, and
+    /// rejects those that have waited for `configuration_wait`.
+    void open_pending_sessions(time_point now, proxy_output& out);
+    /// @brief Handles the results of attempts and sends the waiting statements.
     void settle(time_point now, proxy_output& out);
     void tick(time_point now, proxy_output& out);
-    [[nodiscard]] time_point next_deadline() const noexcept { return due_; }
+    [[nodiscard]] time_point next_deadline() const noexcept { return next_tick_; }
 
-    /// @brief Ends sessions as they become idle.
+    /// @brief Begins the graceful shutdown: sessions are ended once they are idle.
     void leave(time_point now);
-    /// @brief Whether all sessions have ended or the time for it is over.
+    /// @brief Whether the graceful shutdown is complete: all sessions have ended, or the time for
+    /// it is over.
     [[nodiscard]] bool left(time_point now) const noexcept;
-    /// @brief Refuses sessions from now on: the process ends within a moment, and a caller that is
-    /// let in would get no answer.
+    /// @brief Rejects new sessions from now on: the process is about to exit, and an accepted
+    /// caller would get no answer.
     void close() noexcept { closed_ = true; }
     [[nodiscard]] std::size_t sessions() const noexcept { return sessions_.size(); }
     /// @brief Statements that wait for a backend server.
@@ -111,14 +118,14 @@
         statement_error problem;
         std::string detail;
     };
-    /// Route of the operation in hand; a newer configuration applies from the next one.
+    /// Route of the current operation; a newer configuration applies from the next operation on.
     struct operation_route {
         std::shared_ptr<const configuration_document> configuration;
         const route_row* row{nullptr};
         group_id group;
     };
-    /// Session that waits for the first configuration; the key's digest is kept, not the key.
-    struct waiting_start {
+    /// Session that waits for the first configuration. Holds the digest of the key, not the key.
+    struct pending_session {
         route_name database;
         key_digest key;
         time_point since{};
@@ -137,7 +144,7 @@
     void start_operation(time_point now, caller_session& session, statement next,
                          proxy_output& out);
     void start_in_transaction(time_point now, caller_session& session, statement next);
-    void admitted(time_point now, caller_session& session, proxy_output& out);
+    void on_admitted(time_point now, caller_session& session, proxy_output& out);
     [[nodiscard]] std::optional<refusal> select_route(caller_session& session);
     [[nodiscard]] bool writes(const caller_session& session, const statement& next) const;
     void end_transaction(time_point now, caller_session& session, proxy_output& out);
@@ -152,30 +159,30 @@
     [[nodiscard]] bool place_in_transaction(time_point now, caller_session& session,
                                             proxy_output& out);
     [[nodiscard]] std::optional<log_point> required_point(time_point now, caller_session& session);
-    [[nodiscard]] bool ends_soon(time_point now, const backend_directory::entry& backend) const;
+    [[nodiscard]] bool may_stop_soon(time_point now, const backend_directory::entry& backend) const;
     [[nodiscard]] std::vector<read_candidate> candidates(time_point now,
                                                          const caller_session& session,
-                                                         const std::optional<log_point>& wanted);
+                                                         const std::optional<log_point>& required);
     [[nodiscard]] bool send(time_point now, caller_session& session,
                             const backend_server_id& backend, std::optional<log_point> after,
                             proxy_output& out);
-    void note_leaving(time_point now, const caller_session& session,
-                      const backend_server_id& backend, proxy_output& out) const;
-    void send_on(time_point now, caller_session& session, const backend_server_id& backend,
-                 connection_id lease, const std::optional<log_point>& after, bool opens,
-                 proxy_output& out);
+    void log_use_of_leaving(time_point now, const caller_session& session,
+                            const backend_server_id& backend, proxy_output& out) const;
+    void send_attempt(time_point now, caller_session& session, const backend_server_id& backend,
+                      connection_id lease, const std::optional<log_point>& after, bool opens,
+                      proxy_output& out);
     [[nodiscard]] duration distance_to(const backend_registration& backend) const;
 
     // Results.
-    void take_result(time_point now, const attempt_result& result, proxy_output& out);
-    void take_answer(time_point now, caller_session& session, const attempt_result& result,
-                     proxy_output& out);
-    void take_success(time_point now, caller_session& session, const attempt_result& result,
+    void handle_result(time_point now, const attempt_result& result, proxy_output& out);
+    void handle_reply(time_point now, caller_session& session, const attempt_result& result,
                       proxy_output& out);
-    void take_problem(time_point now, caller_session& session, const attempt_result& result,
+    void handle_success(time_point now, caller_session& session, const attempt_result& result,
+                        proxy_output& out);
+    void handle_error(time_point now, caller_session& session, const attempt_result& result,
                       proxy_output& out);
-    void take_loss(time_point now, caller_session& session, const attempt_result& result,
-                   proxy_output& out);
+    void handle_connection_loss(time_point now, caller_session& session,
+                                const attempt_result& result, proxy_output& out);
     void check_confirmation(time_point now, caller_session& session, proxy_output& out);
     void deliver(time_point now, caller_session& session, const attempt_result& result,
                  proxy_output& out);
@@ -186,13 +193,15 @@
     void finish(time_point now, caller_session& session, statement_reply reply, proxy_output& out);
     void refuse(time_point now, caller_session& session, statement_error problem,
                 std::string detail, proxy_output& out);
-    void check_work(time_point now, caller_session& session, proxy_output& out);
+    void check_progress(time_point now, caller_session& session, proxy_output& out);
     void check_idle(time_point now, caller_session& session, proxy_output& out);
     void close(time_point now, session_id id, proxy_output& out);
-    [[nodiscard]] std::string evidence(time_point now, const caller_session& session) const;
-    [[nodiscard]] std::string unavailable(time_point now, const caller_session& session) const;
-    void note(const caller_session& session, const char* outcome, const std::string& more,
-              log_level level, proxy_output& out) const;
+    [[nodiscard]] std::string leadership_evidence(time_point now,
+                                                  const caller_session& session) const;
+    [[nodiscard]] std::string unavailable_reason(time_point now,
+                                                 const caller_session& session) const;
+    void log_statement(const caller_session& session, const char* outcome,
+                       const std::string& details, log_level level, proxy_output& out) const;
 
     fleet_state& state_;
     member_gateway& gateway_;
@@ -200,12 +209,12 @@
     executor_settings settings_;
     id_sequence<attempt_id> attempt_ids_;
     std::map<session_id, caller_session> sessions_;
-    std::map<session_id, waiting_start> starts_;
+    std::map<session_id, pending_session> pending_sessions_;
     std::map<session_id, operation_route> routes_;
     std::map<attempt_id, session_id> attempts_;
     std::set<queue_key> waiting_;
-    std::set<session_id> working_; ///< Sessions with a statement in hand.
-    time_point due_{};
+    std::set<session_id> active_sessions_; ///< Sessions with a current statement.
+    time_point next_tick_{};
     time_point next_idle_check_{};
     std::optional<time_point> leaving_since_;
     bool closed_{false};
--- a/src/core/sessions/statement_executor.cpp
+++ b/src/core/sessions/statement_executor.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr duration busy_tick = std::chrono::milliseconds{10};
-constexpr duration idle_tick = std::chrono::milliseconds{100};
+constexpr duration busy_tick_interval = std::chrono::milliseconds{10};
+constexpr duration idle_tick_interval = std::chrono::milliseconds{100};
 
-statement_reply own_reply(transaction_state state) {
+statement_reply local_reply(transaction_state state) {
     statement_reply reply;
     reply.signature = "-";
     reply.state = state;
@@ -33,24 +33,24 @@
     if (state_.configuration || closed_) {
         open_session(now, what.session, what.database, key, out);
     } else {
-        starts_[what.session] = {what.database, key, now};
+        pending_sessions_[what.session] = {what.database, key, now};
     }
 }
 
-void statement_executor::start_waiting(time_point now, proxy_output& out) {
-    if (starts_.empty()) {
+void statement_executor::open_pending_sessions(time_point now, proxy_output& out) {
+    if (pending_sessions_.empty()) {
         return;
     }
     const auto due = [&](const auto& each) {
-        return state_.configuration || now - each.second.since >= settings_.start_wait;
+        return state_.configuration || now - each.second.since >= settings_.configuration_wait;
     };
-    for (auto it = starts_.begin(); it != starts_.end();) {
+    for (auto it = pending_sessions_.begin(); it != pending_sessions_.end();) {
         if (!due(*it)) {
             ++it;
             continue;
         }
         const auto [id, start] = *it;
-        it = starts_.erase(it);
+        it = pending_sessions_.erase(it);
         open_session(now, id, start.database, start.key, out);
     }
 }
@@ -76,7 +76,7 @@
     out.sessions.emplace_back(greet_session{id});
 }
 
-/// Route filter and key filter: the configuration in force decides at each operation.
+/// Checks the route and the key against the configuration that is current at this operation.
 std::optional<statement_executor::refusal>
 statement_executor::select_route(caller_session& session) {
     if (!state_.configuration) {
@@ -135,7 +135,7 @@
 }
 
 void statement_executor::close(time_point now, session_id id, proxy_output& out) {
-    starts_.erase(id);
+    pending_sessions_.erase(id);
     const auto found = sessions_.find(id);
     if (found == sessions_.end()) {
         return;
@@ -144,12 +144,13 @@
     if (session.work) {
         limits_.withdraw(id);
         dequeue(session);
-        // A statement in hand goes on at the backend server; its connection is free after it.
+        // A statement in flight runs to its end on the backend server, and its connection is reused
+        // afterwards. The connection of a transaction is discarded.
         const bool in_transaction = session.transaction.state != transaction_state::idle;
         abandon_attempts(now, session, in_transaction, out);
     }
     end_transaction(now, session, out);
-    working_.erase(id);
+    active_sessions_.erase(id);
     routes_.erase(id);
     sessions_.erase(found);
 }
@@ -171,13 +172,15 @@
                                proxy_output& out) {
     const auto state = session.transaction.state;
     const bool ends = next.kind == statement_kind::commit || next.kind == statement_kind::rollback;
-    const bool misplaced = (ends && state == transaction_state::idle) ||
-                           (next.kind == statement_kind::begin && state != transaction_state::idle);
-    if (next.kind == statement_kind::unknown || misplaced ||
+    const bool invalid_in_state =
+        (ends && state == transaction_state::idle) ||
+        (next.kind == statement_kind::begin && state != transaction_state::idle);
+    if (next.kind == statement_kind::unknown || invalid_in_state ||
         (state == transaction_state::failed && !ends)) {
-        auto reply = own_reply(state);
+        auto reply = local_reply(state);
         reply.problem = statement_error::malformed;
-        reply.detail = misplaced ? "not in this transaction state" : "statement not understood";
+        reply.detail =
+            invalid_in_state ? "not in this transaction state" : "statement not understood";
         out.sessions.emplace_back(answer_statement{session.id, std::move(reply)});
         return;
     }
@@ -195,7 +198,7 @@
         break;
     }
     if (next.kind == statement_kind::execute && !session.prepared.contains(next.name)) {
-        auto reply = own_reply(state);
+        auto reply = local_reply(state);
         reply.problem = statement_error::no_statement;
         reply.detail = next.name;
         out.sessions.emplace_back(answer_statement{session.id, std::move(reply)});
@@ -217,7 +220,7 @@
     } else {
         session.prepared.erase(next.name);
     }
-    out.sessions.emplace_back(answer_statement{session.id, own_reply(session.transaction.state)});
+    out.sessions.emplace_back(answer_statement{session.id, local_reply(session.transaction.state)});
 }
 
 void statement_executor::start_ending(time_point now, caller_session& session, statement next,
@@ -227,7 +230,7 @@
         start_in_transaction(now, session, std::move(next));
         return;
     }
-    auto reply = own_reply(transaction_state::idle);
+    auto reply = local_reply(transaction_state::idle);
     if (next.kind == statement_kind::commit) {
         reply.problem = statement_error::aborted;
         reply.detail = "the transaction had failed";
@@ -261,7 +264,7 @@
     work.statement = std::move(next);
     work.deadline = now;
     session.work = std::move(work);
-    working_.insert(session.id);
+    active_sessions_.insert(session.id);
     if (const auto problem = select_route(session)) {
         refuse(now, session, problem->problem, problem->detail, out);
         return;
@@ -288,7 +291,7 @@
     }
     auto& session = found->second;
     if (decision.state == admission_state::admitted) {
-        admitted(now, session, out);
+        on_admitted(now, session, out);
         return;
     }
     const auto after = decision.problem.retry_after.value_or(settings_.default_retry_after);
@@ -296,7 +299,7 @@
            "rate exceeded; retry_after_ms=" + std::to_string(to_milliseconds(after)), out);
 }
 
-void statement_executor::admitted(time_point now, caller_session& session, proxy_output& out) {
+void statement_executor::on_admitted(time_point now, caller_session& session, proxy_output& out) {
     auto& work = *session.work;
     if (work.statement.kind != statement_kind::begin) {
         work.step = work_step::placement;
@@ -304,11 +307,11 @@
         enqueue(session);
         return;
     }
-    // The transaction opens at a backend server with its first statement.
+    // BEGIN is sent to a backend server only with the transaction's first statement.
     session.transaction.state = transaction_state::open;
     session.transaction.read_only = work.statement.read_only;
     session.transaction.started = now;
-    finish(now, session, own_reply(transaction_state::open), out);
+    finish(now, session, local_reply(transaction_state::open), out);
 }
 
 void statement_executor::start_in_transaction(time_point now, caller_session& session,
@@ -325,7 +328,7 @@
     work.step = work_step::placement;
     work.statement = std::move(next);
     session.work = std::move(work);
-    working_.insert(session.id);
+    active_sessions_.insert(session.id);
     enqueue(session);
 }
 
@@ -340,16 +343,16 @@
         return false;
     }
     const bool over = now >= *leaving_since_ + settings_.grace - settings_.exit_margin;
-    return over || (sessions_.empty() && now >= *leaving_since_ + settings_.balancer_delay);
+    return over || (sessions_.empty() && now >= *leaving_since_ + settings_.load_balancer_delay);
 }
 
 void statement_executor::settle(time_point now, proxy_output& out) {
-    start_waiting(now, out);
+    open_pending_sessions(now, out);
     bool progress = true;
     while (progress) {
         const auto results = gateway_.take_results();
         for (const auto& result : results) {
-            take_result(now, result, out);
+            handle_result(now, result, out);
         }
         place_waiting(now, out);
         progress = !results.empty();
@@ -357,15 +360,15 @@
 }
 
 void statement_executor::tick(time_point now, proxy_output& out) {
-    const auto working = working_;
+    const auto working = active_sessions_;
     for (const auto id : working) {
         const auto found = sessions_.find(id);
         if (found != sessions_.end() && found->second.work) {
-            check_work(now, found->second, out);
+            check_progress(now, found->second, out);
         }
     }
     if (now >= next_idle_check_) {
-        next_idle_check_ = now + idle_tick;
+        next_idle_check_ = now + idle_tick_interval;
         std::vector<session_id> all;
         for (const auto& [id, session] : sessions_) {
             if (!session.work) {
@@ -376,7 +379,7 @@
             check_idle(now, sessions_.at(id), out);
         }
     }
-    due_ = now + (working_.empty() ? idle_tick : busy_tick);
+    next_tick_ = now + (active_sessions_.empty() ? idle_tick_interval : busy_tick_interval);
 }
 
 void statement_executor::check_idle(time_point now, caller_session& session, proxy_output& out) {
@@ -386,12 +389,12 @@
         if (now - session.last_activity < limit && !stop_due) {
             return;
         }
-        note(session, "transaction_ended", stop_due ? "reason=stop" : "reason=idle",
-             log_level::info, out);
+        log_statement(session, "transaction_ended", stop_due ? "reason=stop" : "reason=idle",
+                      log_level::info, out);
         end_transaction(now, session, out);
         session.transaction.state = transaction_state::failed;
     }
-    if (!leaving_since_ || now < *leaving_since_ + settings_.balancer_delay ||
+    if (!leaving_since_ || now < *leaving_since_ + settings_.load_balancer_delay ||
         (session.transaction.state == transaction_state::failed &&
          now < *leaving_since_ + settings_.grace / 2)) {
         return;
@@ -400,8 +403,9 @@
     close(now, session.id, out);
 }
 
-void statement_executor::note(const caller_session& session, const char* outcome,
-                              const std::string& more, log_level level, proxy_output& out) const {
+void statement_executor::log_statement(const caller_session& session, const char* outcome,
+                                       const std::string& details, log_level level,
+                                       proxy_output& out) const {
     std::string text = std::string{outcome} + " session=" + std::to_string(session.id.value()) +
                        " route=" + session.database.str() +
                        " organisation=" + session.organisation.str();
@@ -414,7 +418,7 @@
     if (route != routes_.end() && route->second.configuration) {
         text += " revision=" + std::to_string(route->second.configuration->revision.value());
     }
-    log(out.common, "statement", level, text + (more.empty() ? "" : " ") + more);
+    log(out.common, "statement", level, text + (details.empty() ? "" : " ") + details);
 }
 
 } // namespace jackdawvane
--- a/src/core/sessions/statement_placement.cpp
+++ b/src/core/sessions/statement_placement.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 
 /// @file
-/// @brief Which backend server runs a statement, and when.
+/// @brief Statement executor: the queue of waiting statements and the choice of backend servers.
 
 namespace jackdawvane {
 
@@ -23,7 +23,7 @@
 }
 
 void statement_executor::place_waiting(time_point now, proxy_output& out) {
-    // What one statement cannot get, those behind it with the same wish cannot get either.
+    // If no server is available for a statement, none is for later ones with the same requirement.
     std::set<std::pair<group_id, bool>> exhausted;
     const std::vector<queue_key> order{waiting_.begin(), waiting_.end()};
     for (const auto& key : order) {
@@ -37,20 +37,20 @@
         if (now < session.work->retry_at) {
             continue;
         }
-        const std::pair wish{routes_.at(session.id).group, session.work->needs_primary};
+        const std::pair requirement{routes_.at(session.id).group, session.work->needs_primary};
         const bool own_connection = session.transaction.opened;
-        if (!own_connection && exhausted.contains(wish)) {
+        if (!own_connection && exhausted.contains(requirement)) {
             continue;
         }
         if (place(now, session, out)) {
             waiting_.erase(key);
         } else if (!own_connection && session.work && session.work->tried.empty()) {
-            exhausted.insert(wish);
+            exhausted.insert(requirement);
         }
     }
 }
 
-/// @return whether the statement no longer waits for a place
+/// @return whether the statement was sent or ended, and so leaves the queue
 bool statement_executor::place(time_point now, caller_session& session, proxy_output& out) {
     if (session.transaction.opened) {
         return place_in_transaction(now, session, out);
@@ -63,10 +63,10 @@
                                               proxy_output& out) {
     const auto& transaction = session.transaction;
     const auto& work = *session.work;
-    if (transaction.leader > term{} && work.statement.kind == statement_kind::commit &&
+    if (transaction.primary_term > term{} && work.statement.kind == statement_kind::commit &&
         transaction.wrote) {
         const auto& leadership = state_.leadership(routes_.at(session.id).group);
-        if (leadership.term() != transaction.leader) {
+        if (leadership.term() != transaction.primary_term) {
             give_up(now, session, "the primary was replaced", out);
             return true;
         }
@@ -75,7 +75,7 @@
             return false;
         }
     }
-    send_on(now, session, transaction.backend, transaction.lease, {}, false, out);
+    send_attempt(now, session, transaction.backend, transaction.lease, {}, false, out);
     return true;
 }
 
@@ -84,73 +84,78 @@
     const auto& group = routes_.at(session.id).group;
     const auto& leadership = state_.leadership(group);
     const auto oldest = std::min(leadership.confirmed_at(), leadership.primary_seen());
-    if (oldest == time_point::min() || now - oldest > settings_.evidence_refresh) {
+    if (oldest == time_point::min() || now - oldest > settings_.evidence_refresh_age) {
         state_.awaited.insert(group);
     }
     const auto* entry =
         leadership.primary() ? state_.directory.find(*leadership.primary()) : nullptr;
-    if (entry != nullptr && ends_soon(now, *entry)) {
+    if (entry != nullptr && may_stop_soon(now, *entry)) {
         return false;
     }
     if (!leadership.confirmed(now) || now - leadership.primary_seen() > settings_.primary_silence ||
         !gateway_.open(now, *leadership.primary())) {
         return false;
     }
-    session.work->leader = leadership.term();
+    session.work->primary_term = leadership.term();
     return send(now, session, *leadership.primary(), {}, out);
 }
 
-/// Point that a read on a server other than the primary has to reach.
+/// Log point that a server other than the confirmed primary must have reached to run the read;
+/// nothing when it is not known.
 std::optional<log_point> statement_executor::required_point(time_point /*now*/,
                                                             caller_session& session) {
     const auto& route = routes_.at(session.id);
     auto& leadership = state_.leadership(route.group);
     const auto bound = from_milliseconds(route.row->max_staleness_ms.value_or(0));
-    auto wanted = leadership.point_since(session.work->received - bound);
+    auto required = leadership.point_since(session.work->received - bound);
     const auto floor = session.floors.find(route.group);
     if (floor == session.floors.end()) {
-        return wanted;
+        return required;
     }
-    if (floor->second.leader < leadership.term()) {
-        // A new primary may lack the point; all that remains of it is in the new primary's log.
+    if (floor->second.primary_term < leadership.term()) {
+        // After a failover the old point may never be reached: the new primary may lack it.
+        // Whatever survived is in the new primary's log, so its newest point replaces the old one.
         const auto newest = leadership.newest_point();
         if (!newest) {
             return {};
         }
         floor->second = {*newest, leadership.term()};
     }
-    return wanted ? std::optional{std::max(*wanted, floor->second.point)} : wanted;
+    return required ? std::optional{std::max(*required, floor->second.point)} : required;
 }
 
 duration statement_executor::distance_to(const backend_registration& backend) const {
     if (backend.domain == state_.self.place.domain) {
-        return settings_.domain_round_trip;
+        return settings_.same_domain_round_trip;
     }
     return state_.region_of(backend.domain) == state_.self.place.region
-               ? settings_.region_round_trip
-               : settings_.far_round_trip;
+               ? settings_.same_region_round_trip
+               : settings_.cross_region_round_trip;
 }
 
-/// A server that may have been leaving for a few seconds gets no new work, also when no other has
-/// room: it may end at any moment. When it began is not in the registry, so the last reading that
-/// listed it as staying counts; this VM's list may have been old, or may be its first one.
-bool statement_executor::ends_soon(time_point now, const backend_directory::entry& backend) const {
+/// A server that may have been leaving for longer than `leaving_use_limit` gets no new statements,
+/// even when no other server is available, because it may stop at any moment. The registry does not
+/// say when it began to leave, so the age of the last read that did not list it as leaving is used:
+/// this VM's list may have been stale, or this may be its first one.
+bool statement_executor::may_stop_soon(time_point now,
+                                       const backend_directory::entry& backend) const {
     return backend.registration.leaving && (backend.staying_at == time_point::min() ||
-                                            now - backend.staying_at > settings_.leaving_use);
+                                            now - backend.staying_at > settings_.leaving_use_limit);
 }
 
-std::vector<read_candidate> statement_executor::candidates(time_point now,
-                                                           const caller_session& session,
-                                                           const std::optional<log_point>& wanted) {
+std::vector<read_candidate>
+statement_executor::candidates(time_point now, const caller_session& session,
+                               const std::optional<log_point>& required) {
     const auto& group = routes_.at(session.id).group;
     const auto& leadership = state_.leadership(group);
     std::vector<read_candidate> found;
     for (const auto& [backend, entry] : state_.directory.entries()) {
         const auto& registration = entry.registration;
         const bool primary = leadership.primary() == backend;
-        const bool proved_primary = primary && leadership.confirmed(now);
+        const bool confirmed_primary = primary && leadership.confirmed(now);
         if (registration.group != group || session.work->tried.contains(backend) ||
-            ends_soon(now, entry) || !gateway_.open(now, backend) || (!wanted && !proved_primary)) {
+            may_stop_soon(now, entry) || !gateway_.open(now, backend) ||
+            (!required && !confirmed_primary)) {
             continue;
         }
         read_candidate candidate;
@@ -162,7 +167,7 @@
         candidate.primary = primary;
         candidate.last_used = session.last_backend == backend;
         const auto received = leadership.received(backend);
-        candidate.lagging = !proved_primary && received && wanted && *received < *wanted;
+        candidate.lagging = !confirmed_primary && received && required && *received < *required;
         candidate.warming_up = registration.warm_up_left > duration{0};
         candidate.leaving = registration.leaving || entry.absent_since != no_deadline;
         found.push_back(candidate);
@@ -171,18 +176,18 @@
 }
 
 bool statement_executor::place_read(time_point now, caller_session& session, proxy_output& out) {
-    const auto wanted = required_point(now, session);
-    if (!wanted) {
+    const auto required = required_point(now, session);
+    if (!required) {
         state_.awaited.insert(routes_.at(session.id).group);
     }
-    const auto chosen = choose_backend(candidates(now, session, wanted), settings_.choice);
+    const auto chosen = choose_backend(candidates(now, session, required), settings_.choice);
     if (!chosen) {
         return false;
     }
     const auto& leadership = state_.leadership(routes_.at(session.id).group);
-    const bool proved_primary = leadership.primary() == *chosen && leadership.confirmed(now);
-    session.work->leader = proved_primary ? leadership.term() : term{};
-    return send(now, session, *chosen, proved_primary ? std::nullopt : wanted, out);
+    const bool confirmed_primary = leadership.primary() == *chosen && leadership.confirmed(now);
+    session.work->primary_term = confirmed_primary ? leadership.term() : term{};
+    return send(now, session, *chosen, confirmed_primary ? std::nullopt : required, out);
 }
 
 bool statement_executor::send(time_point now, caller_session& session,
@@ -197,35 +202,37 @@
     if (opens) {
         transaction.lease = *lease;
         transaction.backend = backend;
-        transaction.leader = session.work->leader;
+        transaction.primary_term = session.work->primary_term;
     }
     if (!session.work->writes) {
         session.last_backend = backend;
     }
-    note_leaving(now, session, backend, out);
-    send_on(now, session, backend, *lease, after, opens, out);
+    log_use_of_leaving(now, session, backend, out);
+    send_attempt(now, session, backend, *lease, after, opens, out);
     return true;
 }
 
-/// New work for a leaving server is allowed for a while; the line tells what it was decided on.
-void statement_executor::note_leaving(time_point now, const caller_session& session,
-                                      const backend_server_id& backend, proxy_output& out) const {
+/// Logs the ages on which the decision to use a leaving server was based.
+void statement_executor::log_use_of_leaving(time_point now, const caller_session& session,
+                                            const backend_server_id& backend,
+                                            proxy_output& out) const {
     const auto* entry = state_.directory.find(backend);
     if (entry == nullptr || !entry->registration.leaving) {
         return;
     }
     count(out.common, "statements_to_leaving_total");
-    note(session, "to_leaving",
-         "backend=" + backend.str() + " leaving_ms=" + age_text(now, entry->leaving_since) +
-             " staying_age_ms=" + age_text(now, entry->staying_at) +
-             " registry_age_ms=" + age_text(now, state_.directory.read_at()),
-         log_level::info, out);
+    log_statement(session, "to_leaving",
+                  "backend=" + backend.str() +
+                      " leaving_ms=" + age_text(now, entry->leaving_since) +
+                      " staying_age_ms=" + age_text(now, entry->staying_at) +
+                      " registry_age_ms=" + age_text(now, state_.directory.read_at()),
+                  log_level::info, out);
 }
 
-void statement_executor::send_on(time_point now, caller_session& session,
-                                 const backend_server_id& backend, connection_id lease,
-                                 const std::optional<log_point>& after, bool opens,
-                                 proxy_output& out) {
+void statement_executor::send_attempt(time_point now, caller_session& session,
+                                      const backend_server_id& backend, connection_id lease,
+                                      const std::optional<log_point>& after, bool opens,
+                                      proxy_output& out) {
     auto& work = *session.work;
     const auto attempt = attempt_ids_.next();
     attempts_[attempt] = session.id;
--- a/src/core/sessions/statement_results.cpp
+++ b/src/core/sessions/statement_results.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 
 /// @file
-/// @brief What becomes of a statement after it was sent.
+/// @brief Statement executor: results of attempts, retries, timeouts and replies to the caller.
 
 namespace jackdawvane {
 
@@ -20,37 +20,37 @@
 
 } // namespace
 
-void statement_executor::take_result(time_point now, const attempt_result& result,
-                                     proxy_output& out) {
-    const auto named = attempts_.find(result.attempt);
-    if (named == attempts_.end()) {
+void statement_executor::handle_result(time_point now, const attempt_result& result,
+                                       proxy_output& out) {
+    const auto attempt = attempts_.find(result.attempt);
+    if (attempt == attempts_.end()) {
         return;
     }
-    const auto found = sessions_.find(named->second);
-    attempts_.erase(named);
+    const auto found = sessions_.find(attempt->second);
+    attempts_.erase(attempt);
     if (found == sessions_.end() || !found->second.work) {
         return;
     }
     auto& session = found->second;
     session.work->attempts.erase(result.attempt);
     if (result.answered) {
-        take_answer(now, session, result, out);
+        handle_reply(now, session, result, out);
     } else {
-        take_loss(now, session, result, out);
+        handle_connection_loss(now, session, result, out);
     }
 }
 
-void statement_executor::take_answer(time_point now, caller_session& session,
-                                     const attempt_result& result, proxy_output& out) {
+void statement_executor::handle_reply(time_point now, caller_session& session,
+                                      const attempt_result& result, proxy_output& out) {
     if (result.reply.problem == statement_error::none) {
-        take_success(now, session, result, out);
+        handle_success(now, session, result, out);
     } else {
-        take_problem(now, session, result, out);
+        handle_error(now, session, result, out);
     }
 }
 
-void statement_executor::take_success(time_point now, caller_session& session,
-                                      const attempt_result& result, proxy_output& out) {
+void statement_executor::handle_success(time_point now, caller_session& session,
+                                        const attempt_result& result, proxy_output& out) {
     auto& work = *session.work;
     abandon_attempts(now, session, false, out);
     work.answered = now;
@@ -62,31 +62,33 @@
         return;
     }
     if (work.statement.kind == statement_kind::commit) {
-        work.leader = session.transaction.leader;
+        work.primary_term = session.transaction.primary_term;
     }
-    work.held = result;
+    work.unconfirmed_result = result;
     work.step = work_step::confirmation;
     check_confirmation(now, session, out);
 }
 
-/// A commit counts only if no newer primary can have acted when the answer came.
+/// Reports a commit as successful only once no newer primary can have been active when its answer
+/// arrived; otherwise its outcome is unknown.
 void statement_executor::check_confirmation(time_point now, caller_session& session,
                                             proxy_output& out) {
     auto& work = *session.work;
     const auto& leadership = state_.leadership(routes_.at(session.id).group);
-    if (leadership.term() == work.leader &&
+    if (leadership.term() == work.primary_term &&
         (leadership.confirmed(now) || leadership.confirmed_at() >= work.answered)) {
-        const auto result = std::move(*work.held);
-        work.held.reset();
+        const auto result = std::move(*work.unconfirmed_result);
+        work.unconfirmed_result.reset();
         deliver(now, session, result, out);
         return;
     }
-    if (leadership.term() == work.leader && now < work.answered + settings_.confirmation_limit) {
+    if (leadership.term() == work.primary_term &&
+        now < work.answered + settings_.confirmation_limit) {
         state_.awaited.insert(routes_.at(session.id).group);
         return;
     }
-    const auto connection = work.held->lease;
-    work.held.reset();
+    const auto connection = work.unconfirmed_result->lease;
+    work.unconfirmed_result.reset();
     session.transaction = {};
     gateway_.discard(now, connection, out);
     statement_reply reply;
@@ -102,10 +104,10 @@
     auto reply = result.reply;
     const auto& group = routes_.at(session.id).group;
     if (reply.position) {
-        const auto leader = state_.leadership(group).term();
+        const auto primary_term = state_.leadership(group).term();
         auto& floor = session.floors[group];
-        if (floor.leader < leader) {
-            floor = {*reply.position, leader};
+        if (floor.primary_term < primary_term) {
+            floor = {*reply.position, primary_term};
         } else {
             floor.point = std::max(floor.point, *reply.position);
         }
@@ -125,7 +127,7 @@
     finish(now, session, std::move(reply), out);
 }
 
-void statement_executor::take_problem(time_point now, caller_session& session,
+void statement_executor::handle_error(time_point now, caller_session& session,
                                       const attempt_result& result, proxy_output& out) {
     auto& work = *session.work;
     auto& transaction = session.transaction;
@@ -133,7 +135,7 @@
     const bool own_transaction = transaction.state == transaction_state::open;
     if (not_run && !transaction.opened) {
         if (own_transaction) {
-            // The transaction at the server has failed or was never opened.
+            // The transaction on the server has failed or was never begun.
             transaction.lease = {};
             gateway_.release(now, result.lease, result.sent, out);
         } else {
@@ -144,7 +146,7 @@
     }
     if (not_run && transaction.opened && result.reply.state == transaction_state::open) {
         work.step = work_step::placement;
-        work.retry_at = now + settings_.retry_pause;
+        work.retry_at = now + settings_.retry_delay;
         enqueue(session);
         return;
     }
@@ -174,11 +176,11 @@
     finish(now, session, std::move(reply), out);
 }
 
-void statement_executor::take_loss(time_point now, caller_session& session,
-                                   const attempt_result& result, proxy_output& out) {
+void statement_executor::handle_connection_loss(time_point now, caller_session& session,
+                                                const attempt_result& result, proxy_output& out) {
     auto& work = *session.work;
     if (!work.attempts.empty()) {
-        return; // Another attempt is under way.
+        return; // Another attempt is in flight.
     }
     if ((work.retryable || !result.sent) && !session.transaction.opened) {
         session.transaction.lease = {};
@@ -198,10 +200,10 @@
     if (work.step == work_step::running && !work.attempts.empty()) {
         return;
     }
-    note(session, "retry",
-         "backend=" + result.backend.str() + " problem=" + to_string(result.reply.problem) +
-             " ms=" + milliseconds(now - work.received),
-         log_level::info, out);
+    log_statement(session, "retry",
+                  "backend=" + result.backend.str() + " problem=" +
+                      to_string(result.reply.problem) + " ms=" + milliseconds(now - work.received),
+                  log_level::info, out);
     work.tried.insert(result.backend);
     const auto members = state_.directory.members(routes_.at(session.id).group);
     const bool all_tried = std::all_of(members.begin(), members.end(), [&](const auto& member) {
@@ -210,7 +212,7 @@
     work.retry_at = now;
     if (work.needs_primary || all_tried) {
         work.tried.clear();
-        work.retry_at = now + settings_.retry_pause;
+        work.retry_at = now + settings_.retry_delay;
     }
     work.step = work_step::placement;
     enqueue(session);
@@ -231,18 +233,20 @@
     }
 }
 
-/// Ends a statement that may have run: the answer says what is kept.
+/// Ends a statement that may have run; the error of the reply says whether it may have taken
+/// effect.
 void statement_executor::give_up(time_point now, caller_session& session, const char* why,
                                  proxy_output& out) {
     auto& work = *session.work;
     auto& transaction = session.transaction;
-    const bool sent = work.tries > 0; // Counts only tries that may have reached a server.
+    const bool sent = work.tries > 0; // Counts only attempts that may have reached a server.
     abandon_attempts(now, session, true, out);
     statement_reply reply;
     reply.detail = why;
     if (work.statement.kind == statement_kind::commit) {
-        const bool may_be_kept = transaction.wrote && sent;
-        reply.problem = may_be_kept ? statement_error::unknown_outcome : statement_error::aborted;
+        const bool may_be_committed = transaction.wrote && sent;
+        reply.problem =
+            may_be_committed ? statement_error::unknown_outcome : statement_error::aborted;
         end_transaction(now, session, out);
     } else if (transaction.state == transaction_state::open) {
         reply.problem = statement_error::aborted;
@@ -272,26 +276,27 @@
 void statement_executor::finish(time_point now, caller_session& session, statement_reply reply,
                                 proxy_output& out) {
     dequeue(session);
-    const auto taken = now - session.work->received;
-    const bool good = reply.problem == statement_error::none;
-    note(session, good ? "done" : "not_done",
-         std::string{"problem="} + to_string(reply.problem) + " ms=" + milliseconds(taken) +
-             " backend=" + session.last_backend.str() +
-             (good ? std::string{} : evidence(now, session)) +
-             (reply.detail.empty() || good ? "" : " detail=\"" + reply.detail + "\""),
-         good ? log_level::debug : log_level::info, out);
+    const auto elapsed = now - session.work->received;
+    const bool succeeded = reply.problem == statement_error::none;
+    log_statement(session, succeeded ? "done" : "not_done",
+                  std::string{"problem="} + to_string(reply.problem) +
+                      " ms=" + milliseconds(elapsed) + " backend=" + session.last_backend.str() +
+                      (succeeded ? std::string{} : leadership_evidence(now, session)) +
+                      (reply.detail.empty() || succeeded ? "" : " detail=\"" + reply.detail + "\""),
+                  succeeded ? log_level::debug : log_level::info, out);
     count(out.common, "statements_total", "problem", to_string(reply.problem));
     out.common.emplace_back(measurement{metric_kind::histogram, "statement_duration", "", "",
-                                        static_cast<double>(taken.count())});
+                                        static_cast<double>(elapsed.count())});
     session.work.reset();
-    working_.erase(session.id);
+    active_sessions_.erase(session.id);
     session.last_activity = now;
     out.sessions.emplace_back(answer_statement{session.id, std::move(reply)});
     start_next(now, session, out);
 }
 
-/// What was known of the group's primary, with its age.
-std::string statement_executor::evidence(time_point now, const caller_session& session) const {
+/// Log fields: the known primary of the group, and the age of the evidence for it.
+std::string statement_executor::leadership_evidence(time_point now,
+                                                    const caller_session& session) const {
     const auto route = routes_.find(session.id);
     if (route == routes_.end()) {
         return {};
@@ -304,7 +309,8 @@
            " primary_age_ms=" + age_text(now, leadership.primary_seen());
 }
 
-std::string statement_executor::unavailable(time_point now, const caller_session& session) const {
+std::string statement_executor::unavailable_reason(time_point now,
+                                                   const caller_session& session) const {
     const auto& leadership = state_.leadership(routes_.at(session.id).group);
     std::string reason = "no backend server has room";
     if (session.work->needs_primary && !leadership.confirmed(now)) {
@@ -313,7 +319,8 @@
     return reason + "; retry_after_ms=" + milliseconds(settings_.default_retry_after);
 }
 
-void statement_executor::check_work(time_point now, caller_session& session, proxy_output& out) {
+void statement_executor::check_progress(time_point now, caller_session& session,
+                                        proxy_output& out) {
     auto& work = *session.work;
     switch (work.step) {
     case work_step::admission:
@@ -323,7 +330,7 @@
             if (session.transaction.opened) {
                 give_up(now, session, "the primary is not confirmed", out);
             } else {
-                refuse(now, session, statement_error::busy, unavailable(now, session), out);
+                refuse(now, session, statement_error::busy, unavailable_reason(now, session), out);
             }
         }
         break;
@@ -335,8 +342,8 @@
             work.tried.insert(session.last_backend);
             const bool placed = place(now, session, out);
             work.step = work_step::running;
-            note(session, placed ? "hedged" : "not_hedged", "backend=" + session.last_backend.str(),
-                 log_level::info, out);
+            log_statement(session, placed ? "hedged" : "not_hedged",
+                          "backend=" + session.last_backend.str(), log_level::info, out);
         }
         break;
     case work_step::confirmation:
--- a/tests/core/statement_executor_test.cpp
+++ b/tests/core/statement_executor_test.cpp
@@ -39,7 +39,7 @@
     session_fixture fixture;
 };
 
-TEST_F(StatementExecutor, ReadGoesToAReplicaWithTheBoundsPoint) {
+TEST_F(StatementExecutor, ReadGoesToAReplicaWithThePointOfTheStalenessBound) {
     fixture.say(10, read_one());
     fixture.accept(11);
     const auto sent = fixture.commands();
@@ -52,7 +52,7 @@
     EXPECT_EQ(answers.front().problem, statement_error::none);
 }
 
-TEST_F(StatementExecutor, ReadThatAReplicaLagsForGoesOnToAnother) {
+TEST_F(StatementExecutor, ReadRefusedByALaggingReplicaIsSentToAnother) {
     fixture.say(10, read_one());
     fixture.accept(11);
     const auto first = fixture.commands();
@@ -65,8 +65,8 @@
     EXPECT_TRUE(fixture.answers().empty());
 }
 
-/// Guards against new work for a server that is about to end: a leaving server was used, as a last
-/// choice, until it was gone.
+/// Guards against new statements for a server that is about to stop: a leaving server was used
+/// until it stopped when no other was available.
 TEST_F(StatementExecutor, LeavingServerGetsNoNewWorkAfterAFewSeconds) {
     std::vector<backend_registration> leaving;
     for (const char* name : {"p", "r1", "r2"}) {
@@ -91,16 +91,17 @@
     EXPECT_TRUE(fixture.commands().empty()) << "neither does a leaving primary";
 }
 
-struct late_news_case {
+struct leaving_server_case {
     const char* name;
-    int staying_at; ///< Last reading that listed the server as staying; -1 for none.
+    int staying_at; ///< Last read that did not list the server as leaving; -1 for none.
     bool sent;
 };
 
-class LeavingServerLearnedOfLate : public ::testing::TestWithParam<late_news_case> {};
+class LeavingServerLearnedOfLate : public ::testing::TestWithParam<leaving_server_case> {};
 
-/// Guards against new work that is counted from the reading: the server may have left long before.
-TEST_P(LeavingServerLearnedOfLate, GetsNewWorkByItsLastReadingAsStaying) {
+/// Guards against measuring the time limit from the read that first lists a server as leaving: the
+/// server may have begun to leave long before.
+TEST_P(LeavingServerLearnedOfLate, GetsNewStatementsByItsLastReadAsNotLeaving) {
     constexpr int read_at = 20'000;
     session_fixture fixture;
     fixture.state.directory = backend_directory{};
@@ -118,12 +119,12 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(StatementExecutor, LeavingServerLearnedOfLate,
-                         ::testing::Values(late_news_case{"known_before", 19'000, true},
-                                           late_news_case{"list_was_old", 13'000, false},
-                                           late_news_case{"first_list_of_this_vm", -1, false}),
+                         ::testing::Values(leaving_server_case{"known_before", 19'000, true},
+                                           leaving_server_case{"list_was_old", 13'000, false},
+                                           leaving_server_case{"first_list_of_this_vm", -1, false}),
                          [](const auto& tested) { return std::string{tested.param.name}; });
 
-// A read without an answer must not wait for its timeout while another server is idle.
+// Guards against a read that waits for its timeout on a silent server while another is idle.
 TEST_F(StatementExecutor, SilentReadIsAlsoSentElsewhere) {
     fixture.say(10, read_one());
     fixture.accept(11);
@@ -139,7 +140,7 @@
     EXPECT_EQ(fixture.answers().size(), 1U);
 }
 
-// Without proof of the primary a write could be acknowledged by a replaced one.
+// Without evidence of the leadership, a write could be acknowledged by a replaced primary.
 TEST_F(StatementExecutor, WriteWaitsForProofAndIsRefusedAsNotRun) {
     fixture.say(900, write_one());
     EXPECT_TRUE(fixture.take<open_member>().empty());
@@ -150,7 +151,7 @@
     EXPECT_NE(answers.front().detail.find("retry_after_ms"), std::string::npos);
 }
 
-// kdrp-vane inc-23ab: writes to a primary that was cut off ended as unknown after their timeout.
+// kdrp-vane inc-23ab: writes sent to a partitioned primary timed out with an unknown outcome.
 TEST_F(StatementExecutor, WriteIsNotSentToASilentPrimary) {
     fixture.state.leadership(group_id{"g"})
         .on_status(at(790), at(790), backend_server_id{"r1"}, replica_status(1, point(1, 10)));
@@ -161,8 +162,8 @@
     EXPECT_EQ(fixture.take<open_member>().size(), 1U);
 }
 
-// Without these ages, the cause of a refusal cannot be told from the logs.
-TEST_F(StatementExecutor, LineOfARefusalTellsTheAgeOfTheProof) {
+// Without these ages, the logs do not show the cause of a refusal.
+TEST_F(StatementExecutor, RefusalLogsTheAgeOfTheConfirmation) {
     fixture.say(900, write_one());
     fixture.tick(1850);
     std::string text;
@@ -187,7 +188,7 @@
     EXPECT_TRUE(fixture.take<open_member>().empty());
 }
 
-// The loss of an opening connection would not tell whether a write on it has run.
+// If a connection is lost while it opens, it is not known whether a write sent on it has run.
 TEST_F(StatementExecutor, WriteIsNotSentBeforeItsConnectionIsOpen) {
     fixture.say(1, write_one());
     EXPECT_TRUE(fixture.commands().empty());
@@ -195,7 +196,7 @@
     EXPECT_EQ(fixture.commands().size(), 1U);
 }
 
-// An answer that comes after the proof has run out may be that of a replaced primary.
+// An answer that arrives after the evidence has expired may come from a replaced primary.
 TEST_F(StatementExecutor, LateWriteAnswerWaitsForProof) {
     fixture.say(1, write_one());
     fixture.accept(2);
@@ -222,7 +223,7 @@
     EXPECT_EQ(answers.front().problem, statement_error::unknown_outcome);
 }
 
-// kdrp-vane scale-1 broke PINNED: the next statement ran outside the lost transaction.
+// kdrp-vane scale-1 violated PINNED: the statement after a lost transaction ran outside of it.
 TEST_F(StatementExecutor, StatementAfterTheLossOfItsTransactionIsAborted) {
     const auto connection = open_written_transaction();
     fixture.lose(10, connection);
@@ -254,7 +255,7 @@
     EXPECT_EQ(answers.front().problem, statement_error::unknown_outcome);
 }
 
-// A statement that follows a transaction that failed to open would run outside of one.
+// When BEGIN fails, the statement after it would run outside of a transaction.
 TEST_F(StatementExecutor, StatementIsNotSentWhenItsTransactionDoesNotOpen) {
     fixture.say(1, begin_one());
     fixture.say(2, write_one());
@@ -286,7 +287,7 @@
     EXPECT_EQ(sent.front().second.kind, command_kind::rollback);
 }
 
-TEST_F(StatementExecutor, SessionValuesAreLaidOntoTheConnection) {
+TEST_F(StatementExecutor, SessionValuesAreSetOnTheConnection) {
     auto set = make_statement(statement_kind::set, "SET v 1");
     set.name = "v";
     set.value = "1";
@@ -342,7 +343,7 @@
                                                           statement_error::unknown_database}),
                          [](const auto& each) { return each.param.name; });
 
-// Callers that come right after a restart would use up their tries on rejections.
+// Callers that connect right after a restart would exhaust their retries on rejections.
 TEST(StatementExecutorStart, SessionWaitsForTheFirstConfiguration) {
     session_fixture fixture;
     fixture.state.configuration = nullptr;
@@ -363,8 +364,8 @@
     EXPECT_EQ(rejected.front().problem, statement_error::busy);
 }
 
-// kdrp-vane scale-1 --seed 939875511361 broke PINNED: the flag was lost between two VMs, and the
-// statement of a lost transaction ran on a new connection.
+// kdrp-vane scale-1 --seed 939875511361 violated PINNED: `continues` was not passed between two
+// VMs, so a statement of a lost transaction ran on a new connection.
 TEST(MemberStatement, KeepsEveryFieldBetweenVms) {
     member_statement sent;
     sent.lease = connection_id{1};
