--- a/src/core/sessions/statement_executor.cpp
+++ b/src/core/sessions/statement_executor.cpp
@@ -111,7 +111,7 @@
     session.last_activity = now;
     if (session.input.size() >= settings_.pipeline_limit) {
         out.sessions.emplace_back(reject_session{session.id, statement_error::too_large,
-                                                 "too many statements sent ahead"});
+                                                 "too many pipelined statements"});
         close(now, session.id, out);
         return;
     }
@@ -179,8 +179,8 @@
         (state == transaction_state::failed && !ends)) {
         auto reply = local_reply(state);
         reply.problem = statement_error::malformed;
-        reply.detail =
-            invalid_in_state ? "not in this transaction state" : "statement not understood";
+        reply.detail = invalid_in_state ? "statement not allowed in the current transaction state"
+                                        : "unknown statement, or the transaction has failed";
         out.sessions.emplace_back(answer_statement{session.id, std::move(reply)});
         return;
     }
@@ -233,7 +233,7 @@
     auto reply = local_reply(transaction_state::idle);
     if (next.kind == statement_kind::commit) {
         reply.problem = statement_error::aborted;
-        reply.detail = "the transaction had failed";
+        reply.detail = "the transaction had failed and was rolled back";
     }
     end_transaction(now, session, out);
     out.sessions.emplace_back(answer_statement{session.id, std::move(reply)});
@@ -296,7 +296,7 @@
     }
     const auto after = decision.problem.retry_after.value_or(settings_.default_retry_after);
     refuse(now, session, statement_error::busy,
-           "rate exceeded; retry_after_ms=" + std::to_string(to_milliseconds(after)), out);
+           "rate limit exceeded; retry_after_ms=" + std::to_string(to_milliseconds(after)), out);
 }
 
 void statement_executor::on_admitted(time_point now, caller_session& session, proxy_output& out) {
--- a/src/core/sessions/statement_results.cpp
+++ b/src/core/sessions/statement_results.cpp
@@ -312,7 +312,7 @@
 std::string statement_executor::unavailable_reason(time_point now,
                                                    const caller_session& session) const {
     const auto& leadership = state_.leadership(routes_.at(session.id).group);
-    std::string reason = "no backend server has room";
+    std::string reason = "no backend server is available";
     if (session.work->needs_primary && !leadership.confirmed(now)) {
         reason = "the primary is not confirmed";
     }
--- a/tests/core/statement_executor_test.cpp
+++ b/tests/core/statement_executor_test.cpp
@@ -88,7 +88,8 @@
     fixture.tick(5700); // The read is refused at its timeout.
     fixture.say(5710, write_one());
     fixture.accept(5711);
-    EXPECT_TRUE(fixture.commands().empty()) << "neither does a leaving primary";
+    EXPECT_TRUE(fixture.commands().empty())
+        << "a leaving primary must not get new statements either";
 }
 
 struct leaving_server_case {
