--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -71,7 +71,8 @@
     EXPECT_EQ(entry.started_at_ms, 1700000000000U);
 }
 
-// Entries of other writers name no server to use, and must not stop the others from being read.
+// Entries that other writers put into the registry are not registrations of a usable backend
+// server. They must be rejected without preventing the other entries from being read.
 class BadRegistration : public ::testing::TestWithParam<bad_document> {};
 
 TEST_P(BadRegistration, IsRefused) {
