--- a/tests/platform/entry_settings_test.cpp
+++ b/tests/platform/entry_settings_test.cpp
@@ -35,13 +35,13 @@
     EXPECT_EQ(proxy.most_holders, 3U);
 }
 
-struct mistake {
+struct invalid_setting {
     const char* name;
     const char* from;
     const char* to;
 };
 
-class EntrySettingsMistake : public ::testing::TestWithParam<mistake> {};
+class EntrySettingsMistake : public ::testing::TestWithParam<invalid_setting> {};
 
 TEST_P(EntrySettingsMistake, IsReported) {
     auto text = settings_text;
@@ -51,13 +51,14 @@
     EXPECT_FALSE(problems.empty());
 }
 
-INSTANTIATE_TEST_SUITE_P(EntrySettings, EntrySettingsMistake,
-                         ::testing::Values(mistake{"no_vm", "\"vm\"", "\"vmx\""},
-                                           mistake{"host_name", "127.0.0.1:4", "store:4"},
-                                           mistake{"no_port", "127.0.0.1:5", "127.0.0.1"},
-                                           mistake{"short_secret", "0123456789abcdef", "short"},
-                                           mistake{"no_grace", "\"grace_s\":6", "\"grace_s\":0"}),
-                         [](const auto& each) { return each.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    EntrySettings, EntrySettingsMistake,
+    ::testing::Values(invalid_setting{"no_vm", "\"vm\"", "\"vmx\""},
+                      invalid_setting{"host_name", "127.0.0.1:4", "store:4"},
+                      invalid_setting{"no_port", "127.0.0.1:5", "127.0.0.1"},
+                      invalid_setting{"short_secret", "0123456789abcdef", "short"},
+                      invalid_setting{"no_grace", "\"grace_s\":6", "\"grace_s\":0"}),
+    [](const auto& each) { return each.param.name; });
 
 } // namespace
 } // namespace jackdawvane::platform
