--- a/tests/platform/line_codec_test.cpp
+++ b/tests/platform/line_codec_test.cpp
@@ -48,7 +48,8 @@
     EXPECT_EQ(found.text, "EXECUTE s1 1a4 x  y");
 }
 
-// A line that hides another one must not reach a backend server.
+// A control character could hide a second statement in a line; such a line must not reach a backend
+// server.
 TEST(LineCodec, ControlCharactersAndUnknownKindsAreUnreadable) {
     for (const auto* line : {"QUERY 1 READ a\rQUERY 2 WRITE b", "HELLO", ""}) {
         EXPECT_TRUE(std::holds_alternative<unreadable_line>(line_codec{}.read_caller(line)))
--- a/tests/platform/session_ports_test.cpp
+++ b/tests/platform/session_ports_test.cpp
@@ -36,15 +36,15 @@
     tcp::acceptor acceptor{context, {asio::ip::make_address("127.0.0.1"), 0}};
 };
 
-TEST_F(SessionPorts, MemberAnswersAreGatheredUntilTheEnd) {
-    member_port members{context, {}, codec, sink()};
+TEST_F(SessionPorts, ServerAnswersAreCollectedUntilReady) {
+    member_port server_connections{context, {}, codec, sink()};
     open_member start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", acceptor.local_endpoint().port()};
     start.group = group_id{"g"};
     start.organisation = organisation_id{"o"};
     start.expected = backend_server_id{"i"};
-    members.open(start);
+    server_connections.open(start);
     auto server = acceptor.accept();
     context.run_for(milliseconds{50});
     std::string received;
@@ -65,16 +65,17 @@
     EXPECT_EQ(last<member_replied>()->reply.rows, (std::vector<std::string>{"a", "b"}));
 }
 
-// A write that was given up must not run after a cut has healed.
-TEST_F(SessionPorts, ClosedMemberConnectionIsReset) {
-    member_port members{context, {}, codec, sink()};
+// A write whose connection the proxy has closed must not be executed when a network partition heals
+// later.
+TEST_F(SessionPorts, ClosedServerConnectionIsReset) {
+    member_port server_connections{context, {}, codec, sink()};
     open_member start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", acceptor.local_endpoint().port()};
-    members.open(start);
+    server_connections.open(start);
     auto server = acceptor.accept();
     context.run_for(milliseconds{50});
-    members.close(connection_id{1});
+    server_connections.close(connection_id{1});
     std::array<char, 64> buffer{};
     boost::system::error_code failure;
     while (!failure) {
@@ -83,14 +84,14 @@
     EXPECT_EQ(failure, asio::error::connection_reset);
 }
 
-TEST_F(SessionPorts, RefusedConnectionIsToldApart) {
+TEST_F(SessionPorts, RefusedConnectionIsReportedAsRefused) {
     const auto port = acceptor.local_endpoint().port();
     acceptor.close();
-    member_port members{context, {}, codec, sink()};
+    member_port server_connections{context, {}, codec, sink()};
     open_member start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", port};
-    members.open(start);
+    server_connections.open(start);
     context.run_for(milliseconds{50});
     ASSERT_NE(last<member_closed>(), nullptr);
     EXPECT_EQ(last<member_closed>()->reason, close_reason::refused);
