--- a/include/jackdawvane/configuration/configuration.hpp
+++ b/include/jackdawvane/configuration/configuration.hpp
@@ -13,11 +13,11 @@
 #include <vector>
 
 /// @file
-/// @brief Rows of the configuration document. Keys ending in `_ms` are milliseconds.
+/// @brief Tables and rows of the configuration document. Keys ending in `_ms` hold milliseconds.
 
 namespace jackdawvane {
 
-/// @brief When an order counts as acknowledged.
+/// @brief Condition for acknowledging a write: a majority of the group has it, or its primary has.
 enum class fencing_mode { majority, primary_alone };
 
 template <>
@@ -26,7 +26,7 @@
         {{fencing_mode::majority, "majority"}, {fencing_mode::primary_alone, "primary_alone"}}};
 };
 
-/// @brief What a route does with keys while its failure domain is cut off.
+/// @brief Whether a route accepts API keys while the VM's failure domain is isolated.
 enum class isolation_mode { serve, refuse };
 
 template <>
@@ -53,16 +53,16 @@
 /// @brief Row of the routes table.
 struct route_row {
     pool_name pool;
-    bool open{false};                              ///< Needs no key.
+    bool open{false};                              ///< Requires no API key.
     bool writes{true};                             ///< Accepts requests in write mode.
-    std::vector<organisation_id> organisations;    ///< Who may use it; empty admits all.
-    std::uint32_t deadline_ms{2000};               ///< Longest deadline; default of requests.
+    std::vector<organisation_id> organisations;    ///< Allowed organisations; empty allows all.
+    std::uint32_t deadline_ms{2000};               ///< Maximum, and default, request deadline.
     std::optional<std::uint32_t> max_staleness_ms; ///< Default for reads without a session.
     fencing_mode fencing{fencing_mode::majority};
     isolation_mode keys_when_isolated{isolation_mode::serve};
     consistency_mode consistency{consistency_mode::read_your_writes};
-    std::uint32_t target_latency_ms{1000};   ///< Within this an operation should be answered.
-    std::uint32_t priority{1};               ///< 0 is served first when statements wait.
+    std::uint32_t target_latency_ms{1000};   ///< Latency objective of an operation.
+    std::uint32_t priority{1};               ///< 0 is the highest, for queued statements.
     std::uint32_t transaction_idle_ms{3000}; ///< An idle transaction is rolled back after this.
 
     static constexpr auto fields() {
@@ -94,8 +94,8 @@
 struct backend_server_row {
     jackdawvane::endpoint endpoint;
     location place;
-    std::uint32_t slots{1};             ///< Statements that it runs at once.
-    std::uint32_t connection_limit{20}; ///< Connections that it accepts, from all VMs.
+    std::uint32_t slots{1};             ///< Maximum number of concurrent statements.
+    std::uint32_t connection_limit{20}; ///< Maximum number of connections from all VMs.
     backend_state state{backend_state::active};
 
     static constexpr auto fields() {
@@ -110,10 +110,10 @@
 /// @brief One database group: a primary and its replicas.
 struct group_row {
     std::map<backend_server_id, backend_server_row> backend_servers;
-    /// Connections that a backend server of the group accepts, from all VMs; for servers that
-    /// register themselves and have no row.
+    /// Maximum number of connections from all VMs to each backend server of the group that
+    /// registers itself and has no row.
     std::uint32_t connection_limit{20};
-    std::uint32_t sync_replicas{0}; ///< Replicas that have a commit before it is acknowledged.
+    std::uint32_t sync_replicas{0}; ///< Replicas that must have a commit before it is acknowledged.
 
     static constexpr auto fields() {
         return std::tuple{field("backend_servers", &group_row::backend_servers),
@@ -132,7 +132,7 @@
 /// @brief Row of the organisations table.
 struct organisation_row {
     double rate{0};          ///< Requests per second over the whole fleet.
-    double burst{0};         ///< Requests above the rate that may come at once.
+    double burst{0};         ///< Maximum burst of requests above the rate.
     std::uint32_t weight{1}; ///< Share of a backend server's slots under contention.
 
     static constexpr auto fields() {
@@ -142,10 +142,10 @@
     }
 };
 
-/// @brief Row of the keys table, named by the key's digest.
+/// @brief Row of the keys table; the row's name is the digest of the API key.
 struct key_row {
     organisation_id organisation;
-    std::string label; ///< Operators' note, for example the office that uses it.
+    std::string label; ///< Operators' note, for example the office that uses the key.
 
     static constexpr auto fields() {
         return std::tuple{field("organisation", &key_row::organisation),
@@ -169,7 +169,7 @@
 /// @brief One accepted edit of the configuration.
 struct configuration_edit {
     edit_id id;
-    jackdawvane::revision revision; ///< Revision that the edit made.
+    jackdawvane::revision revision; ///< Revision created by the edit.
     std::string operator_name;
     std::vector<row_change> changes;
 
@@ -181,7 +181,7 @@
     }
 };
 
-/// @brief The whole configuration, as stored under one key of the platform's store.
+/// @brief The complete configuration, stored under one key of the platform's store.
 struct configuration_document {
     jackdawvane::revision revision;
     std::map<route_name, route_row> routes;
--- a/include/jackdawvane/configuration/configuration_replica.hpp
+++ b/include/jackdawvane/configuration/configuration_replica.hpp
@@ -13,44 +13,48 @@
 
 namespace jackdawvane {
 
-/// @brief Place and intervals of a configuration replica.
+/// @brief Location and timing of a configuration replica.
 struct configuration_replica_settings {
     vm_id self;
     failure_domain_id domain;
     std::size_t delegates_per_domain{2};
-    /// Longest wait of one watch; each is shortened at random to half of it at least. A watch
-    /// whose answer the store dropped is silent until then, and with six delegates out of step
-    /// the first one asks again within about 3 s.
+    /// Upper bound of the wait of one watch; each watch waits for a random time between half of
+    /// the bound and the bound. A watch whose answer the store dropped is repeated only after its
+    /// wait. Because the waits of six delegates differ, the first one repeats its watch within
+    /// about 3 s.
     duration watch_wait{std::chrono::seconds{4}};
-    /// Time past `watch_wait` after which an unanswered watch counts as failed.
+    /// Time past the wait of a watch after which an unanswered watch counts as failed.
     duration watch_grace{std::chrono::milliseconds{500}};
     duration retry_floor{std::chrono::milliseconds{200}};
-    /// Bounds the time until the first watch after an outage, and so the delay of the next edit.
+    /// Bounds the time until the first watch after an outage, and so the time until the next edit
+    /// is seen.
     duration retry_ceiling{std::chrono::seconds{2}};
-    /// Whether a VM without a document reads the store before it knows who the delegates are.
+    /// Whether a VM without a document reads the store before it knows the delegates.
     bool read_at_start{false};
     /// Over 10 times the round trip between regions.
     duration pull_timeout{std::chrono::milliseconds{300}};
-    /// Least time between two pulls, and between a new document and the next watch. Edits in quick
-    /// succession arrive together then; each document takes a small VM tens of milliseconds.
-    duration pull_pause{std::chrono::milliseconds{250}};
-    duration watch_pause{std::chrono::milliseconds{250}};
+    /// Minimum interval between two pulls, and minimum delay from a new document to the next watch.
+    /// They batch edits in quick succession, because processing one document takes a small VM tens
+    /// of milliseconds.
+    duration min_pull_interval{std::chrono::milliseconds{250}};
+    duration watch_delay_after_update{std::chrono::milliseconds{250}};
 };
 
-/// @brief This VM's copy of the configuration document; its revision never goes back.
+/// @brief This VM's copy of the configuration document; its revision never decreases.
 ///
 /// Two delegates per failure domain watch the store. A delegate announces each new revision to
-/// the VMs of its failure domain and to the delegates of the others; who is behind pulls.
+/// the VMs of its failure domain and to the delegates of the other failure domains. A VM with an
+/// older revision pulls the edits from another VM.
 class configuration_replica {
   public:
     configuration_replica(configuration_replica_settings settings, id_sequence<request_id>& ids,
                           random_engine& random);
 
-    /// @brief Takes the membership view after each change of it, and once at start.
+    /// @brief Updates the membership view; called after each change of it and once at start.
     void on_membership(time_point now, std::span<const vm_entry> live, actions& out);
 
-    /// @brief Takes a store answer.
-    /// @return whether the answer belongs to this part
+    /// @brief Handles an answer of the store.
+    /// @return whether the answer was to a request of this replica
     bool on_store(time_point now, const store_answer& answer, actions& out);
 
     void on_announce(time_point now, const vm_id& from, const configuration_announce& announced,
@@ -59,7 +63,7 @@
     void on_difference(time_point now, const vm_id& from, const configuration_difference& sent,
                        actions& out);
 
-    /// @brief Takes a revision heard in a membership probe; repairs a missed announcement.
+    /// @brief Handles the revision in a membership probe; makes up for a lost announcement.
     void on_peer_revision(time_point now, const vm_id& vm, revision heard, actions& out);
 
     void tick(time_point now, actions& out);
@@ -80,13 +84,13 @@
     void send(const vm_id& to, peer_message message, actions& out) const;
     void watch(time_point now, actions& out);
     void watch_failed(time_point now);
-    void take_stored(time_point now, const store_answer& answer, actions& out);
+    void adopt_stored(time_point now, const store_answer& answer, actions& out);
     bool adopt(configuration_document document, const vm_id& source, actions& out);
     bool adopt_edits(const configuration_difference& sent, const vm_id& source, actions& out);
     void announce(const vm_id& source, actions& out);
     [[nodiscard]] bool watches() const noexcept;
     [[nodiscard]] bool behind() const noexcept;
-    void want(time_point now, revision wanted, const vm_id& source, actions& out);
+    void request_revision(time_point now, revision wanted, const vm_id& source, actions& out);
     void pull_from(time_point now, const vm_id& source, actions& out);
     void pull_next(time_point now, actions& out);
     [[nodiscard]] std::vector<vm_id> untried_sources() const;
@@ -106,13 +110,13 @@
     time_point watch_at_{};
     duration watch_back_off_;
 
-    revision wanted_; ///< Highest revision heard of.
-    vm_id source_;    ///< VM that a pull waits for; empty without one.
-    std::set<vm_id> tried_;
-    bool whole_document_{false}; ///< The next pull asks for the document, not for edits.
-    vm_id announcer_;            ///< VM that last named a newer revision.
-    time_point next_pull_{};     ///< Earliest time of the next pull.
-    time_point pull_at_{};       ///< Timeout of the pull, or start of the next one.
+    revision wanted_; ///< Highest revision known to exist.
+    vm_id source_;    ///< VM that has to answer the pending pull; empty when none is pending.
+    std::set<vm_id> tried_sources_;
+    bool pull_entire_document_{false}; ///< The next pull requests the document instead of edits.
+    vm_id last_announcer_;             ///< VM that last reported a newer revision.
+    time_point next_pull_{};           ///< Earliest time of the next pull.
+    time_point pull_at_{};             ///< Timeout of the pull, or start of the next one.
     duration pull_back_off_;
 };
 
--- a/include/jackdawvane/configuration/key_registry.hpp
+++ b/include/jackdawvane/configuration/key_registry.hpp
@@ -9,26 +9,25 @@
 
 namespace jackdawvane {
 
-/// @brief SHA-256 digest of @a key in lower-case hexadecimal digits.
+/// @brief SHA-256 digest of @a key as lower-case hexadecimal digits.
 [[nodiscard]] key_digest digest_of(std::string_view key);
 
-/// @brief Maps callers' keys to organisations; holds digests only.
+/// @brief Maps callers' API keys to organisations; stores only digests of the keys.
 ///
-/// The look-up compares digests, not keys, in variable time. What its duration tells about a
-/// stored digest is of no use: to exploit it, an attacker has to choose keys by digest prefix,
-/// and finding a key for a whole digest needs a preimage of SHA-256.
+/// The look-up compares digests, not keys, and takes variable time. A timing attack could reveal
+/// at most a stored digest: the attacker would have to choose keys by digest prefix, and finding a
+/// key for the complete digest requires a preimage of SHA-256.
 class key_registry {
   public:
     key_registry() = default;
-    /// @brief Registry of all keys of @a document.
+    /// @brief Registry of all keys in @a document.
     explicit key_registry(const configuration_document& document);
 
-    /// @brief Organisation that @a key belongs to.
+    /// @brief Looks up the organisation of @a key.
     /// @return the organisation, `missing_key` for an empty key, or `unknown_key`
     /// @complexity one digest and one hash look-up
     [[nodiscard]] result<organisation_id> authenticate(std::string_view key) const;
 
-    /// @brief Number of keys.
     [[nodiscard]] std::size_t size() const noexcept { return organisations_.size(); }
 
   private:
--- a/src/core/configuration/configuration_editor.cpp
+++ b/src/core/configuration/configuration_editor.cpp
@@ -10,7 +10,7 @@
 
 constexpr const char* log_part = "config";
 
-error store_silent(const std::string& detail) {
+error store_unavailable_error(const std::string& detail) {
     return {error_kind::store_unavailable, detail, {}};
 }
 
@@ -22,23 +22,23 @@
 
 void configuration_editor::submit(time_point now, configuration_edit edit, actions& out) {
     edit_ = std::move(edit);
-    only_settle_ = false;
-    open_write_.reset();
+    status_query_only_ = false;
+    lost_write_version_.reset();
     start(now, out);
 }
 
 void configuration_editor::settle(time_point now, edit_id id, revision after, actions& out) {
     edit_ = {};
     edit_.id = std::move(id);
-    only_settle_ = true;
-    started_at_ = after;
-    open_write_.reset();
+    status_query_only_ = true;
+    base_revision_ = after;
+    lost_write_version_.reset();
     start(now, out);
 }
 
 void configuration_editor::start(time_point now, actions& out) {
     outcome_.reset();
-    give_up_at_ = now + settings_.time_limit;
+    deadline_ = now + settings_.time_limit;
     back_off_ = settings_.retry_floor;
     read(out);
 }
@@ -88,39 +88,39 @@
         retry(now);
         return;
     }
-    // A lagging read must not lead back behind a version that is known to exist.
-    const auto lowest = std::max(version_, open_write_.value_or(0));
+    // Reject a stale read: it must not return to a version older than one known to exist.
+    const auto lowest = std::max(version_, lost_write_version_.value_or(0));
     if (answer.version < lowest) {
         retry(now);
         return;
     }
     auto parsed = parse_document(answer.value);
     if (!parsed) {
-        finish(open_write_ ? edit_state::unsettled : edit_state::not_accepted, {}, parsed.error(),
-               out);
+        finish(lost_write_version_ ? edit_state::unsettled : edit_state::not_accepted, {},
+               parsed.error(), out);
         return;
     }
     document_ = std::move(parsed).value();
     version_ = answer.version;
-    decide(now, out);
+    resolve_outcome(now, out);
 }
 
-void configuration_editor::decide(time_point now, actions& out) {
+void configuration_editor::resolve_outcome(time_point now, actions& out) {
     if (const auto* const accepted = find_edit(document_, edit_.id)) {
         finish(edit_state::accepted, accepted->revision, {error_kind::none, {}, {}}, out);
         return;
     }
-    if (only_settle_) {
+    if (status_query_only_) {
         write(document_, step::fencing, out);
         return;
     }
-    // At the version of a lost write, the same edit is written again: only one of the two can
-    // take effect, and both make the same document.
-    if (!open_write_ || version_ == *open_write_) {
+    // At the version expected by a lost write, the same edit is written again: only one of the two
+    // writes can take effect, and both produce the same document.
+    if (!lost_write_version_ || version_ == *lost_write_version_) {
         apply_edit(out);
         return;
     }
-    settle_absent(now, out);
+    resolve_absent_edit(now, out);
 }
 
 void configuration_editor::apply_edit(actions& out) {
@@ -130,31 +130,31 @@
         return;
     }
     written_ = std::move(changed).value();
-    started_at_ = document_.revision;
+    base_revision_ = document_.revision;
     write(written_, step::writing, out);
 }
 
-/// The edit is not in the document and the version has moved past all its writes.
-void configuration_editor::settle_absent(time_point now, actions& out) {
-    if (!keeps_edits_after(document_, started_at_)) {
+/// Handles an edit that is not in the document when the version is past that of all its writes.
+void configuration_editor::resolve_absent_edit(time_point now, actions& out) {
+    if (!has_all_edits_after(document_, base_revision_)) {
         finish(edit_state::unsettled, {},
                {error_kind::conflict,
-                "the document no longer keeps the edits of that time; compare the rows with "
+                "the document history no longer reaches back to that edit; compare the rows with "
                 "`jackdawvanectl get`",
                 {}},
                out);
         return;
     }
-    open_write_.reset();
-    if (only_settle_) {
+    lost_write_version_.reset();
+    if (status_query_only_) {
         finish(edit_state::not_accepted, {}, {error_kind::none, {}, {}}, out);
         return;
     }
-    if (now < give_up_at_) {
+    if (now < deadline_) {
         apply_edit(out);
         return;
     }
-    give_up(out);
+    finish_timed_out(out);
 }
 
 void configuration_editor::on_written(time_point now, const store_answer& answer, actions& out) {
@@ -165,13 +165,13 @@
         return;
     }
     if (answer.status == store_status::unavailable) {
-        open_write_ = version_;
+        lost_write_version_ = version_;
         log(out, log_part, log_level::warning,
-            "edit " + edit_.id.str() + ": no answer to the write, reading back");
+            "edit " + edit_.id.str() + ": no answer to the write; reading the document again");
         retry(now);
         return;
     }
-    // A definite conflict means that the version has moved on; read the newer document.
+    // A conflict means that the version has increased; read the newer document.
     version_ = std::max(version_, answer.version);
     read(out);
 }
@@ -179,7 +179,7 @@
 void configuration_editor::on_fenced(time_point now, const store_answer& answer, actions& out) {
     if (answer.status == store_status::ok) {
         version_ = answer.version;
-        settle_absent(now, out);
+        resolve_absent_edit(now, out);
         return;
     }
     if (answer.status == store_status::unavailable) {
@@ -200,8 +200,8 @@
     if (step_ == step::idle) {
         return;
     }
-    if (now >= give_up_at_) {
-        give_up(out);
+    if (now >= deadline_) {
+        finish_timed_out(out);
         return;
     }
     if (step_ == step::waiting && now >= retry_at_) {
@@ -209,20 +209,22 @@
     }
 }
 
-void configuration_editor::give_up(actions& out) {
-    if (only_settle_ || open_write_ || step_ == step::writing) {
+void configuration_editor::finish_timed_out(actions& out) {
+    if (status_query_only_ || lost_write_version_ || step_ == step::writing) {
         finish_unsettled(out);
         return;
     }
     finish(edit_state::not_accepted, {},
-           store_silent("the store did not answer in time; nothing was written"), out);
+           store_unavailable_error(
+               "the store did not answer within the time limit; nothing was written"),
+           out);
 }
 
 void configuration_editor::finish_unsettled(actions& out) {
     finish(edit_state::unsettled, {},
-           store_silent("it is not known whether the edit was accepted; ask with "
-                        "`jackdawvanectl settle " +
-                        edit_.id.str() + "` once the store answers"),
+           store_unavailable_error("the outcome of the edit is unknown; query it with "
+                                   "`jackdawvanectl settle " +
+                                   edit_.id.str() + "` once the store answers"),
            out);
 }
 
@@ -241,7 +243,7 @@
     if (step_ == step::idle) {
         return no_deadline;
     }
-    return step_ == step::waiting ? std::min(retry_at_, give_up_at_) : give_up_at_;
+    return step_ == step::waiting ? std::min(retry_at_, deadline_) : deadline_;
 }
 
 } // namespace jackdawvane
--- a/src/core/configuration/configuration_replica.cpp
+++ b/src/core/configuration/configuration_replica.cpp
@@ -13,12 +13,12 @@
 
 constexpr const char* log_part = "config";
 
-/// Task name under which the delegates of a failure domain are chosen.
+/// Task name that selects the delegates of a failure domain for the configuration.
 constexpr const char* delegate_task = "configuration";
 
-/// A watch answered sooner than this without a newer version counts as failed; otherwise a
-/// lagging store would be asked again without pause.
-constexpr duration shortest_hold = std::chrono::seconds{1};
+/// A watch answered sooner than this without a newer version counts as failed. Otherwise a store
+/// with stale reads would be polled without a delay.
+constexpr duration min_watch_hold = std::chrono::seconds{1};
 
 } // namespace
 
@@ -105,14 +105,14 @@
     const bool answered =
         answer.status == store_status::ok || answer.status == store_status::not_found;
     const bool moved = answer.version > store_version_;
-    watch_at_ = moved && document_ ? now + settings_.watch_pause : now;
-    if (!answered || (!moved && now - watch_sent_ < shortest_hold)) {
+    watch_at_ = moved && document_ ? now + settings_.watch_delay_after_update : now;
+    if (!answered || (!moved && now - watch_sent_ < min_watch_hold)) {
         watch_failed(now);
     } else {
         watch_back_off_ = settings_.retry_floor;
     }
     if (answered && moved) {
-        take_stored(now, answer, out);
+        adopt_stored(now, answer, out);
     }
     if (is_delegate_ && now >= watch_at_) {
         watch(now, out);
@@ -120,11 +120,11 @@
     return true;
 }
 
-void configuration_replica::take_stored(time_point now, const store_answer& answer, actions& out) {
+void configuration_replica::adopt_stored(time_point now, const store_answer& answer, actions& out) {
     auto parsed = parse_document(answer.value);
     if (!parsed) {
         log(out, log_part, log_level::error,
-            "the stored document is unreadable: " + parsed.error().detail);
+            "the document in the store cannot be decoded: " + parsed.error().detail);
         watch_failed(now);
         return;
     }
@@ -132,7 +132,7 @@
     adopt(std::move(parsed).value(), {}, out);
 }
 
-/// Puts @a document in force if its revision is higher than the present one.
+/// Replaces the current document if the revision of @a document is higher.
 bool configuration_replica::adopt(configuration_document document, const vm_id& source,
                                   actions& out) {
     if (document.revision <= present()) {
@@ -158,7 +158,8 @@
             domains.insert(entry.place.domain);
         }
     }
-    // The other domains' delegates learn it here too, in case only this domain reaches the store.
+    // The delegates of the other domains are notified too, in case only this domain reaches the
+    // store.
     for (const auto& domain : domains) {
         const auto chosen = delegates(delegate_task, domain, live_, settings_.delegates_per_domain);
         receivers.insert(chosen.begin(), chosen.end());
@@ -172,27 +173,27 @@
 
 void configuration_replica::on_announce(time_point now, const vm_id& from,
                                         const configuration_announce& announced, actions& out) {
-    want(now, announced.revision, from, out);
+    request_revision(now, announced.revision, from, out);
 }
 
 void configuration_replica::on_peer_revision(time_point now, const vm_id& vm, revision heard,
                                              actions& out) {
-    want(now, heard, vm, out);
+    request_revision(now, heard, vm, out);
 }
 
-void configuration_replica::want(time_point now, revision wanted, const vm_id& source,
-                                 actions& out) {
+void configuration_replica::request_revision(time_point now, revision wanted, const vm_id& source,
+                                             actions& out) {
     if (wanted <= present()) {
         return;
     }
     wanted_ = std::max(wanted_, wanted);
-    tried_.erase(source);
-    announcer_ = source;
+    tried_sources_.erase(source);
+    last_announcer_ = source;
     if (!source_.empty()) {
         return;
     }
     if (document_ && now < next_pull_) {
-        pull_at_ = next_pull_; // The revisions that follow come with the same pull.
+        pull_at_ = next_pull_; // Batches later revisions into the same pull.
     } else {
         pull_from(now, source, out);
     }
@@ -200,17 +201,17 @@
 
 void configuration_replica::pull_from(time_point now, const vm_id& source, actions& out) {
     source_ = source;
-    next_pull_ = now + settings_.pull_pause;
-    tried_.insert(source);
+    next_pull_ = now + settings_.min_pull_interval;
+    tried_sources_.insert(source);
     pull_at_ = now + settings_.pull_timeout;
-    send(source, configuration_pull{whole_document_ ? revision{} : present()}, out);
+    send(source, configuration_pull{pull_entire_document_ ? revision{} : present()}, out);
 }
 
 std::vector<vm_id> configuration_replica::untried_sources() const {
     std::vector<vm_id> near;
     std::vector<vm_id> far;
     for (const auto& entry : live_) {
-        if (entry.vm != settings_.self && !tried_.contains(entry.vm)) {
+        if (entry.vm != settings_.self && !tried_sources_.contains(entry.vm)) {
             (entry.place.domain == settings_.domain ? near : far).push_back(entry.vm);
         }
     }
@@ -219,15 +220,15 @@
 
 void configuration_replica::pull_next(time_point now, actions& out) {
     source_ = vm_id{};
-    if (!announcer_.empty() && !tried_.contains(announcer_)) {
-        pull_from(now, announcer_, out);
+    if (!last_announcer_.empty() && !tried_sources_.contains(last_announcer_)) {
+        pull_from(now, last_announcer_, out);
         return;
     }
     const auto sources = untried_sources();
     if (sources.empty()) {
-        // No live VM has the wanted revision; probes tell when one has it again.
+        // No live VM has the wanted revision; a membership probe reports when one has it again.
         wanted_ = present();
-        tried_.clear();
+        tried_sources_.clear();
         pull_at_ = now + jittered(pull_back_off_);
         pull_back_off_ = std::min(2 * pull_back_off_, settings_.retry_ceiling);
         return;
@@ -241,7 +242,7 @@
     configuration_difference answer;
     if (document_ && pull.after < present()) {
         const auto& edits = document_->recent_edits;
-        if (pull.after > revision{} && keeps_edits_after(*document_, pull.after)) {
+        if (pull.after > revision{} && has_all_edits_after(*document_, pull.after)) {
             std::copy_if(
                 edits.begin(), edits.end(), std::back_inserter(answer.edits),
                 [&](const configuration_edit& edit) { return edit.revision > pull.after; });
@@ -261,15 +262,15 @@
     }
     source_ = vm_id{};
     if (progress) {
-        whole_document_ = false;
+        pull_entire_document_ = false;
         pull_back_off_ = settings_.retry_floor;
     }
     if (!behind()) {
-        tried_.clear();
+        tried_sources_.clear();
         return;
     }
     if (progress) {
-        tried_.clear();
+        tried_sources_.clear();
         pull_at_ = next_pull_;
         return;
     }
@@ -289,9 +290,9 @@
         auto next = apply(changed, edit);
         if (!next) {
             log(out, log_part, log_level::warning,
-                "edits from " + source.str() + " do not fit: " + next.error().detail);
-            whole_document_ = true;
-            tried_.erase(source);
+                "edits from " + source.str() + " cannot be applied: " + next.error().detail);
+            pull_entire_document_ = true;
+            tried_sources_.erase(source);
             return false;
         }
         changed = std::move(next).value();
--- a/src/core/configuration/configuration_rules.cpp
+++ b/src/core/configuration/configuration_rules.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Access to one table by row name, for code that handles all tables alike.
+/// Type-erased access to the rows of one table by name.
 struct table_access {
     const char* name;
     std::optional<Json::Value> (*value)(const configuration_document&, const std::string&);
@@ -59,11 +59,11 @@
     return found == tables.end() ? nullptr : &*found;
 }
 
-std::string shown(const std::optional<Json::Value>& value) {
+std::string row_text(const std::optional<Json::Value>& value) {
     return value ? write_json(*value) : std::string{"absent"};
 }
 
-/// The row as the table would hold it: with defaults filled in and numbers in the table's types.
+/// The row as stored in the table: with defaults filled in and numbers in the table's types.
 std::optional<Json::Value> normalised(const table_access& table,
                                       const std::optional<Json::Value>& value) {
     if (!value) {
@@ -75,21 +75,21 @@
     return table.value(scratch, "row");
 }
 
-error conflict_of(const row_change& change, const std::optional<Json::Value>& present) {
+error conflict_error(const row_change& change, const std::optional<Json::Value>& present) {
     return {error_kind::conflict,
-            change.table + " " + change.row + " is " + shown(present) + " but the edit expects " +
-                shown(change.before),
+            change.table + " " + change.row + " is " + row_text(present) +
+                ", but the edit expects " + row_text(change.before),
             {}};
 }
 
 result<void> check_before(const configuration_document& document, const row_change& change) {
     const auto* const table = find_table(change.table);
     if (table == nullptr) {
-        return error{error_kind::invalid_configuration, "there is no table " + change.table, {}};
+        return error{error_kind::invalid_configuration, "unknown table " + change.table, {}};
     }
     const auto present = table->value(document, change.row);
-    if (shown(present) != shown(normalised(*table, change.before))) {
-        return conflict_of(change, present);
+    if (row_text(present) != row_text(normalised(*table, change.before))) {
+        return conflict_error(change, present);
     }
     return boost::outcome_v2::success();
 }
@@ -103,11 +103,12 @@
     return text;
 }
 
-/// Drops the oldest edits until the text is short enough; measured once per edit, not per try.
+/// Drops the oldest edits until the text is short enough. Subtracts the size of each dropped edit
+/// instead of serialising the document again.
 void shorten_history(configuration_document& document) {
     auto& edits = document.recent_edits;
-    if (edits.size() > kept_edits) {
-        edits.erase(edits.begin(), edits.end() - kept_edits);
+    if (edits.size() > max_recent_edits) {
+        edits.erase(edits.begin(), edits.end() - max_recent_edits);
     }
     auto size = document_text(document).size();
     auto first_kept = edits.begin();
@@ -144,10 +145,10 @@
     changed.recent_edits.push_back(edit);
     changed.recent_edits.back().revision = changed.revision;
     shorten_history(changed);
-    // Without its own edit in the history, a lost answer to this write could not be settled.
+    // Without the edit in the history, its outcome could not be determined after a lost answer.
     if (changed.recent_edits.empty()) {
         return error{error_kind::invalid_configuration,
-                     "the document and this edit need over 1 MB; remove rows or make the edit "
+                     "the document with this edit exceeds 1 MB; remove rows or make the edit "
                      "smaller",
                      {}};
     }
@@ -187,7 +188,7 @@
     const auto* const access = find_table(table);
     if (access == nullptr) {
         problems.push_back(
-            {table, row, "", "there is no such table", "use routes, pools, organisations or keys"});
+            {table, row, "", "no such table exists", "use routes, pools, organisations or keys"});
         return;
     }
     if (!value || value->isNull()) {
@@ -208,7 +209,7 @@
     return found == edits.end() ? nullptr : &*found;
 }
 
-bool keeps_edits_after(const configuration_document& document, revision after) {
+bool has_all_edits_after(const configuration_document& document, revision after) {
     if (document.revision <= after) {
         return true;
     }
--- a/src/core/configuration/configuration_validation.cpp
+++ b/src/core/configuration/configuration_validation.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Highest rate in requests per second; far above the fleet's 1.3 M statements/s at target.
+/// Maximum rate in requests per second; far above the fleet's target of 1.3 M statements/s.
 constexpr double max_rate = 1e8;
 
-/// Longest deadline that a route may have: one hour.
+/// Maximum deadline of a route: one hour.
 constexpr std::uint32_t max_deadline_ms = 3'600'000;
 
-/// Hexadecimal digits of a SHA-256 digest.
+/// Number of hexadecimal digits of a SHA-256 digest.
 constexpr std::size_t digest_digits = 64;
 
 /// Whether @a id can stand in a URL path and within a transaction id, whose separator is `~`.
@@ -27,7 +27,7 @@
     });
 }
 
-/// Joined check of one document; collects problems and the names that must be unique.
+/// Validates one document; collects its errors and the names that must be unique.
 class document_check {
   public:
     explicit document_check(const configuration_document& document) : document_{document} {}
@@ -63,8 +63,8 @@
     void require_plain(const char* table, const std::string& row, const std::string& key,
                        const std::string& id) {
         if (!is_plain_id(id)) {
-            add(table, row, key, "has an id with other characters than letters, digits, '-._'",
-                "rename it; the id is a part of URLs and transaction ids");
+            add(table, row, key, "has an id with characters other than letters, digits and '-._'",
+                "rename it; the id is part of URLs and transaction ids");
         }
     }
 
@@ -73,19 +73,20 @@
         require_plain("routes", name.str(), "", name.str());
         if (!document_.pools.contains(row.pool)) {
             add("routes", name.str(), "pool",
-                "names the pool '" + row.pool.str() + "' that does not exist",
-                "add the pool or name an existing one");
+                "references the pool '" + row.pool.str() + "', which does not exist",
+                "add the pool or reference an existing one");
         }
         for (const auto& organisation : row.organisations) {
             if (!document_.organisations.contains(organisation)) {
                 add("routes", name.str(), "organisations",
-                    "names the organisation '" + organisation.str() + "' that does not exist",
+                    "references the organisation '" + organisation.str() +
+                        "', which does not exist",
                     "add the organisation or remove it from the route");
             }
         }
         if (row.open && !row.organisations.empty()) {
             add("routes", name.str(), "organisations",
-                "is set on an open route, which checks no key",
+                "is set on an open route, which does not check keys",
                 "remove the organisations or set open to false");
         }
         if (row.deadline_ms == 0 || row.deadline_ms > max_deadline_ms) {
@@ -149,12 +150,12 @@
     void check_limits(const std::string& pool, const std::string& key,
                       const backend_server_row& row) {
         if (row.slots == 0) {
-            add("pools", pool, key + ".slots", "is 0, so no statement would run", "use at least 1");
+            add("pools", pool, key + ".slots", "is 0, so no statement could run", "use at least 1");
         }
         if (row.connection_limit < min_connection_limit) {
             add("pools", pool, key + ".connection_limit",
                 "is below " + std::to_string(min_connection_limit),
-                "use at least 8: an owner opens half of (limit - 4)");
+                "use at least 8: the owner VM opens half of (limit - 4)");
         }
         if (row.slots > row.connection_limit) {
             add("pools", pool, key + ".slots", "is above connection_limit",
@@ -184,7 +185,8 @@
         }
         if (!document_.organisations.contains(row.organisation)) {
             add("keys", digest.str(), "organisation",
-                "names the organisation '" + row.organisation.str() + "' that does not exist",
+                "references the organisation '" + row.organisation.str() +
+                    "', which does not exist",
                 "add the organisation or withdraw the key");
         }
     }
--- a/src/core/configuration/key_registry.cpp
+++ b/src/core/configuration/key_registry.cpp
@@ -36,11 +36,12 @@
 
 result<organisation_id> key_registry::authenticate(std::string_view key) const {
     if (key.empty()) {
-        return error{error_kind::missing_key, "the request carries no key", {}};
+        return error{error_kind::missing_key, "the request has no API key", {}};
     }
     const auto found = organisations_.find(digest_of(key));
     if (found == organisations_.end()) {
-        return error{error_kind::unknown_key, "the key is not registered or was withdrawn", {}};
+        return error{
+            error_kind::unknown_key, "the API key is not registered or has been withdrawn", {}};
     }
     return found->second;
 }
@@ -52,7 +53,7 @@
         std::find(admitted.begin(), admitted.end(), organisation) != admitted.end();
     if (!allowed) {
         return error{error_kind::organisation_not_allowed,
-                     "organisation " + organisation.str() + " is not admitted to the route",
+                     "organisation " + organisation.str() + " is not allowed to use the route",
                      {}};
     }
     return boost::outcome_v2::success();
--- a/tests/core/configuration_editor_test.cpp
+++ b/tests/core/configuration_editor_test.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::uint64_t seed = 20'261'204;
 
-/// What the fake store does with one compare-and-swap.
+/// Fault injected into one compare-and-swap of the fake store.
 enum class fault { none, lost_before, lost_after, delayed };
 
-/// Store with one key whose writes and reads can go wrong in a given order.
+/// Store with one key and a scripted sequence of write faults and stale reads.
 struct fake_store {
     std::string value{document_text(sample_document())};
     std::uint64_t version{1};
     std::deque<fault> write_faults;
-    std::deque<int> read_lags; ///< For each read, versions that it lags behind.
+    std::deque<int> read_lags; ///< For each read, the number of versions by which it is stale.
     std::vector<std::string> old_values{""};
     std::vector<store_request> delayed;
     bool down{false};
@@ -66,7 +66,7 @@
     }
 };
 
-/// One operator's tool, stepped call by call.
+/// Editor of one operator, advanced one store call at a time.
 struct tool {
     fake_store& store;
     id_sequence<request_id> ids;
@@ -77,7 +77,7 @@
 
     explicit tool(fake_store& shared) : store{shared} {}
 
-    /// Carries out one store call or waits for the next deadline.
+    /// Executes one store call or advances the time to the next deadline.
     void step() {
         for (std::size_t i = 0; i < out.size(); ++i) {
             if (const auto* const request = std::get_if<store_request>(&out[i])) {
@@ -99,7 +99,7 @@
     }
 };
 
-bool holds(const fake_store& store, const char* id) {
+bool contains_edit(const fake_store& store, const char* id) {
     return find_edit(parse_document(store.value).value(), edit_id{id}) != nullptr;
 }
 
@@ -127,11 +127,12 @@
     for (const auto& late : store.delayed) {
         store.write(late);
     }
-    EXPECT_EQ(store.value, before) << "a delayed write took effect after the outcome";
+    EXPECT_EQ(store.value, before) << "a delayed write took effect after the outcome was reported";
     if (outcome.state != edit_state::unsettled) {
-        EXPECT_EQ(holds(store, "e1"), outcome.state == edit_state::accepted);
+        EXPECT_EQ(contains_edit(store, "e1"), outcome.state == edit_state::accepted);
     }
-    EXPECT_EQ(parse_document(store.value).value().recent_edits.size(), holds(store, "e1") ? 1 : 0);
+    EXPECT_EQ(parse_document(store.value).value().recent_edits.size(),
+              contains_edit(store, "e1") ? 1 : 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -147,7 +148,7 @@
                   edit_state::accepted}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against "not accepted" for a write that is still under way when time runs out.
+/// Guards against "not accepted" for a write that is still in flight at the time limit.
 TEST(ConfigurationEditor, WriteUnderWayAtTheTimeLimitIsUnsettledAndCanBeAskedLater) {
     fake_store store;
     store.write_faults = {fault::delayed};
@@ -164,8 +165,7 @@
     tool later{store};
     later.editor.settle(later.now, edit_id{"e1"}, revision{1}, later.out);
     EXPECT_EQ(later.finish().state, edit_state::not_accepted);
-    EXPECT_FALSE(store.write(store.delayed.front()))
-        << "the delayed write must stay without effect";
+    EXPECT_FALSE(store.write(store.delayed.front())) << "the delayed write must not take effect";
 }
 
 struct race_case {
@@ -176,8 +176,8 @@
 
 class Races : public testing::TestWithParam<race_case> {};
 
-/// Guards against a lost update between two operators, and against a needless refusal when they
-/// edit different rows.
+/// Guards against a lost update when two operators edit the same row, and against a needless
+/// conflict when they edit different rows.
 TEST_P(Races, DifferentRowsBothSucceedSameRowConflicts) {
     fake_store store;
     tool first{store};
@@ -202,7 +202,8 @@
                                          race_case{"same_row", "depot", edit_state::not_accepted}),
                          [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against "not accepted" for a lost write that another operator's edit did not overtake.
+/// Guards against "not accepted" for a lost write that can still take effect because no edit of
+/// another operator has increased the version.
 TEST(ConfigurationEditor, ConflictAfterALostWriteIsDefinite) {
     fake_store store;
     store.write_faults = {fault::delayed};
@@ -210,7 +211,7 @@
     tool second{store};
     first.editor.submit(first.now, rate_edit("e1", "depot", 10, 20), first.out);
     first.step();
-    first.step(); // The write is under way.
+    first.step(); // The write is in flight.
     second.editor.submit(second.now, rate_edit("e2", "depot", 10, 30), second.out);
     EXPECT_EQ(second.finish().state, edit_state::accepted);
     const auto outcome = first.finish();
@@ -219,7 +220,7 @@
     EXPECT_FALSE(store.write(store.delayed.front()));
 }
 
-/// Guards against "unsettled" when nothing was written at all.
+/// Guards against "unsettled" when no write was sent.
 TEST(ConfigurationEditor, StoreDownFromTheStartIsNotAccepted) {
     fake_store store;
     store.down = true;
--- a/tests/core/configuration_replica_test.cpp
+++ b/tests/core/configuration_replica_test.cpp
@@ -40,7 +40,7 @@
     peer_message message;
 };
 
-/// Fleet of replicas in three failure domains with one store, in virtual time.
+/// Simulated fleet of replicas in three failure domains with one store, in virtual time.
 struct fleet {
     time_point now{};
     std::vector<std::unique_ptr<test_node>> nodes;
@@ -57,7 +57,7 @@
         for (std::size_t i = 0; i < size; ++i) {
             add(i);
         }
-        tell_membership();
+        update_membership();
     }
     void add(std::size_t i) {
         vm_entry entry;
@@ -65,7 +65,7 @@
         entry.place = {region_id{"r"}, failure_domain_id{"d" + std::to_string(i % 3)}};
         nodes.push_back(std::make_unique<test_node>(i, entry));
     }
-    void tell_membership() {
+    void update_membership() {
         std::vector<vm_entry> live;
         for (const auto& node : nodes) {
             if (node->alive) {
@@ -82,7 +82,7 @@
         stored = document_text(apply(present, rate_edit(id, "depot", from, to)).value());
         ++version;
     }
-    void carry_out(test_node& node) {
+    void execute_actions(test_node& node) {
         for (auto& action : std::exchange(node.out, {})) {
             if (auto* const request = std::get_if<store_request>(&action)) {
                 ++call_count;
@@ -139,11 +139,11 @@
                 if (node->alive && now >= node->replica.next_deadline()) {
                     node->replica.tick(now, node->out);
                 }
-                carry_out(*node);
+                execute_actions(*node);
             }
         }
     }
-    /// Number of live VMs that are not at @a wanted.
+    /// Number of live VMs whose revision is not @a wanted.
     [[nodiscard]] std::size_t behind(std::uint64_t wanted) const {
         return static_cast<std::size_t>(
             std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
@@ -156,12 +156,12 @@
     const char* name;
     void (*disturb)(fleet&); ///< Runs when revision 1 is in force everywhere.
     void (*repair)(fleet&);  ///< Runs 1 s after the edit.
-    duration limit;          ///< From the edit to its being in force everywhere.
+    duration limit;          ///< Maximum time from the edit until it is in force everywhere.
 };
 
 class Spread : public testing::TestWithParam<spread_case> {};
 
-/// Guards against a VM that keeps working with an old revision.
+/// Guards against a VM that continues with an old revision.
 TEST_P(Spread, AcceptedEditIsInForceEverywhere) {
     fleet tested{9};
     tested.run(seconds{2});
@@ -174,14 +174,14 @@
     EXPECT_EQ(tested.behind(2), 0U) << "seed " << seed;
 }
 
-void nothing(fleet& /*tested*/) {}
+void no_change(fleet& /*tested*/) {}
 void kill_delegates_of_one_domain(fleet& tested) {
     for (std::size_t i = 0; i < 9; i += 3) {
         tested.nodes[i]->alive = !tested.nodes[i]->replica.is_delegate();
     }
 }
 void report_deaths(fleet& tested) {
-    tested.tell_membership();
+    tested.update_membership();
 }
 void lose_announcements(fleet& tested) {
     tested.drop_announcements = true;
@@ -193,7 +193,7 @@
         node->replica.on_peer_revision(tested.now, vm_id{"vm-2"}, revision{2}, node->out);
     }
 }
-/// The store forgets all waiting watches, as after a restart behind a relay.
+/// The store drops all pending watches, as after a restart of the store behind a relay.
 void drop_pending_watches(fleet& tested) {
     tested.calls.clear();
 }
@@ -205,22 +205,22 @@
     tested.run(milliseconds{50});
     tested.store_up = false;
     tested.add(9);
-    tested.tell_membership();
-    // Nobody sees the edit that follows, because the store stays down.
+    tested.update_membership();
+    // No VM sees the later edit, because the store stays down.
     tested.stored = document_text(sample_document());
 }
 
 INSTANTIATE_TEST_SUITE_P(
     ConfigurationReplica, Spread,
     testing::Values(
-        spread_case{"undisturbed", nothing, nothing, milliseconds{20}},
+        spread_case{"undisturbed", no_change, no_change, milliseconds{20}},
         spread_case{"both_delegates_of_a_domain_die", kill_delegates_of_one_domain, report_deaths,
                     milliseconds{1100}},
-        spread_case{"one_domain_reaches_the_store", cut_other_domains_from_store, nothing,
+        spread_case{"one_domain_reaches_the_store", cut_other_domains_from_store, no_change,
                     milliseconds{20}},
-        spread_case{"answers_of_watches_lost", drop_pending_watches, nothing, milliseconds{3000}},
+        spread_case{"answers_of_watches_lost", drop_pending_watches, no_change, milliseconds{3000}},
         spread_case{"announcements_lost", lose_announcements, probe_revisions, milliseconds{2500}},
-        spread_case{"vm_starts_while_the_store_is_down", add_vm_without_store, nothing,
+        spread_case{"vm_starts_while_the_store_is_down", add_vm_without_store, no_change,
                     milliseconds{500}}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
@@ -231,7 +231,7 @@
 
 class StaleSource : public testing::TestWithParam<stale_case> {};
 
-/// Guards against a revision that goes back, which would revive withdrawn keys.
+/// Guards against a revision that decreases, which would make withdrawn keys valid again.
 TEST_P(StaleSource, DoesNotLowerTheRevision) {
     fleet tested{3};
     tested.edit(10, 20);
@@ -265,7 +265,8 @@
                    }}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against store calls that grow with the fleet or that flood the store in an outage.
+/// Guards against store calls whose number grows with the fleet or that overload the store in an
+/// outage.
 TEST(ConfigurationReplica, StoreCallsStayFew) {
     fleet tested{9};
     tested.run(seconds{10});
@@ -278,17 +279,17 @@
     const double outage = static_cast<double>(tested.call_count) / 120;
     RecordProperty("quiet_calls_per_second", std::to_string(quiet));
     RecordProperty("outage_calls_per_second", std::to_string(outage));
-    // The fleet may make 5 calls a second in all; leases take 1.8 and the VM list 0.25 of them.
+    // The fleet may make 5 calls per second in total: leases take 1.8 and the VM list 0.25.
     EXPECT_LE(quiet, 2.5);
     EXPECT_LE(outage, 5);
     tested.store_up = true;
     tested.edit(10, 20);
     tested.run(seconds{3});
-    EXPECT_EQ(tested.behind(2), 0U) << "an edit after the outage is late, seed " << seed;
+    EXPECT_EQ(tested.behind(2), 0U) << "an edit after the outage is delayed, seed " << seed;
 }
 
-/// Guards against a document that every VM takes for each of many edits in quick succession: a
-/// small VM does nothing else meanwhile.
+/// Guards against transferring a document to every VM for each of many edits in quick succession,
+/// during which a small VM could do nothing else.
 TEST(ConfigurationReplica, EditsInQuickSuccessionArriveTogether) {
     fleet fleet{9};
     fleet.run(seconds{2});
--- a/tests/core/configuration_rules_test.cpp
+++ b/tests/core/configuration_rules_test.cpp
@@ -16,8 +16,8 @@
 
 class Mistakes : public testing::TestWithParam<mistake_case> {};
 
-/// Guards against a document that is accepted although requests would fail on it, and against
-/// validation that stops at the first mistake.
+/// Guards against accepting a document with which requests would fail, and against validation that
+/// stops at the first error.
 TEST_P(Mistakes, AreAllReportedWithTheirKeys) {
     const auto& tested = GetParam();
     auto document = sample_document();
@@ -78,7 +78,7 @@
         mistake_case{"table", "roots", "r", "{}", {""}}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a lost update: an edit made from an old row must not replace a newer one.
+/// Guards against a lost update: an edit based on an old row must not replace a newer row.
 TEST(ConfigurationRules, EditOfAChangedRowConflictsWithBothValues) {
     auto edit = rate_edit("e1", "depot", 10, 20);
     const auto changed = apply(sample_document(), edit);
@@ -92,7 +92,7 @@
     EXPECT_NE(conflicting.error().detail.find("\"rate\":10.0"), std::string::npos);
 }
 
-/// Guards against an undo that leaves a trace in a row or lowers the revision.
+/// Guards against a revert that does not restore a row exactly or that lowers the revision.
 TEST(ConfigurationRules, InverseRestoresTheRowsAtAHigherRevision) {
     const auto edit = rate_edit("e1", "depot", 10, 20);
     const auto changed = apply(sample_document(), edit).value();
@@ -103,7 +103,7 @@
     EXPECT_EQ(back.value().revision, changed.revision.next());
 }
 
-/// Guards against a document that outgrows the store's value limit through its history.
+/// Guards against a document whose history grows past the store's value limit.
 TEST(ConfigurationRules, HistoryIsBoundedInNumberAndSize) {
     auto document = sample_document();
     for (int i = 0; i < 250; ++i) {
@@ -113,10 +113,10 @@
         ASSERT_TRUE(changed) << changed.error().message();
         document = changed.value();
         ASSERT_LT(document_text(document).size(), max_document_bytes);
-        ASSERT_LE(document.recent_edits.size(), kept_edits);
+        ASSERT_LE(document.recent_edits.size(), max_recent_edits);
     }
     EXPECT_EQ(document.recent_edits.back().id, edit_id{"e249"});
-    EXPECT_FALSE(keeps_edits_after(document, revision{2}));
+    EXPECT_FALSE(has_all_edits_after(document, revision{2}));
     EXPECT_EQ(write_json(to_json(parse_document(document_text(document)).value())),
               document_text(document));
 }
--- a/tests/core/configuration_samples.hpp
+++ b/tests/core/configuration_samples.hpp
@@ -6,7 +6,7 @@
 
 namespace jackdawvane {
 
-/// A small valid document of revision 1.
+/// Small valid document of revision 1.
 inline configuration_document sample_document() {
     return parse_document(R"({"revision":1,
         "routes":{"r":{"pool":"p","organisations":["depot"]}},
--- a/tests/core/key_registry_test.cpp
+++ b/tests/core/key_registry_test.cpp
@@ -6,13 +6,13 @@
 namespace jackdawvane {
 namespace {
 
-/// Guards against digests that other tools would not reproduce (FIPS 180-2 test vector).
+/// Guards against digests that other tools cannot reproduce (FIPS 180-2 test vector).
 TEST(KeyRegistry, DigestIsSha256) {
     EXPECT_EQ(digest_of("abc").str(),
               "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-/// Guards against a withdrawn key that still works, and against a digest that works as a key.
+/// Guards against accepting a withdrawn key, and against accepting a digest as a key.
 TEST(KeyRegistry, WithdrawnKeyIsRefusedOnTheNextRequest) {
     auto document = sample_document();
     const auto digest = digest_of("secret");
@@ -37,7 +37,7 @@
 
 class Access : public testing::TestWithParam<access_case> {};
 
-/// Guards against a request that runs for an organisation the route does not admit.
+/// Guards against running a request for an organisation that the route does not allow.
 TEST_P(Access, FollowsTheRoute) {
     route_row route;
     route.open = GetParam().open;
