--- a/include/jackdawvane/foundation/compact_json.hpp
+++ b/include/jackdawvane/foundation/compact_json.hpp
@@ -9,10 +9,10 @@
 
 namespace detail {
 
-/// @brief Removes from the JSON form of a `Value` the members that a decoder fills in itself.
+/// @brief Removes the members from the JSON form of a `Value` that have their default.
 template <class Value>
 struct default_remover {
-    static void apply(Json::Value& /*json*/, const Json::Value& /*usual*/) {}
+    static void apply(Json::Value& /*json*/, const Json::Value& /*default_form*/) {}
 };
 
 /// @brief JSON form of a default `Value`.
@@ -24,7 +24,7 @@
 
 template <class Value>
 struct default_remover<std::optional<Value>> {
-    static void apply(Json::Value& json, const Json::Value& /*usual*/) {
+    static void apply(Json::Value& json, const Json::Value& /*default_form*/) {
         if (!json.isNull()) {
             default_remover<Value>::apply(json, default_json<Value>());
         }
@@ -33,7 +33,7 @@
 
 template <class Value>
 struct default_remover<std::vector<Value>> {
-    static void apply(Json::Value& json, const Json::Value& /*usual*/) {
+    static void apply(Json::Value& json, const Json::Value& /*default_form*/) {
         for (auto& each : json) {
             default_remover<Value>::apply(each, default_json<Value>());
         }
@@ -43,20 +43,20 @@
 template <has_fields Value>
 struct default_remover<Value> {
     template <class Member>
-    static void remove(Json::Value& json, const Json::Value& usual,
+    static void remove(Json::Value& json, const Json::Value& default_form,
                        const field_entry<Value, Member>& entry) {
         if (!json.isMember(entry.name)) {
             return;
         }
-        const auto& usual_member = usual[entry.name];
-        if (json[entry.name] == usual_member) {
+        const auto& default_member = default_form[entry.name];
+        if (json[entry.name] == default_member) {
             json.removeMember(entry.name);
         } else {
-            default_remover<Member>::apply(json[entry.name], usual_member);
+            default_remover<Member>::apply(json[entry.name], default_member);
         }
     }
-    static void apply(Json::Value& json, const Json::Value& usual) {
-        std::apply([&](const auto&... entry) { (remove(json, usual, entry), ...); },
+    static void apply(Json::Value& json, const Json::Value& default_form) {
+        std::apply([&](const auto&... entry) { (remove(json, default_form, entry), ...); },
                    Value::fields());
     }
 };
@@ -65,8 +65,8 @@
 
 /// @brief JSON form of @a value without the members that have their default, at any depth.
 ///
-/// `from_json` reads the same value from it. Defaults are over half of the bytes of a statement
-/// between two VMs.
+/// `from_json` decodes it to the same value. Default members make up over half of the bytes of a
+/// statement that is sent between two VMs.
 template <has_fields Value>
 [[nodiscard]] Json::Value to_compact_json(const Value& value) {
     auto json = to_json(value);
--- a/include/jackdawvane/foundation/error.hpp
+++ b/include/jackdawvane/foundation/error.hpp
@@ -11,7 +11,7 @@
 
 namespace jackdawvane {
 
-/// @brief Kinds of error that a caller, operator or peer can meet.
+/// @brief Kinds of error reported to a caller, operator or peer.
 enum class error_kind {
     none,
     malformed_request,
@@ -51,19 +51,19 @@
 /// @brief Stable text of @a kind, as used in answers, logs and metrics.
 [[nodiscard]] std::string_view to_string(error_kind kind) noexcept;
 
-/// @brief Kind named by @a text; `internal` when there is none.
+/// @brief Error kind with the text @a text; `internal` when there is none.
 [[nodiscard]] error_kind error_kind_from(std::string_view text) noexcept;
 
-/// @brief What the person or program that meets an error of @a kind can do about it.
+/// @brief Recommended action for whoever receives an error of @a kind.
 [[nodiscard]] std::string_view remedy(error_kind kind) noexcept;
 
-/// @brief Typed error; its message names the remedy.
+/// @brief Typed error whose message includes the remedy.
 struct error {
     error_kind kind{error_kind::internal};
     std::string detail;                  ///< What happened, one short sentence.
-    std::optional<duration> retry_after; ///< When to come back, where that helps.
+    std::optional<duration> retry_after; ///< Delay before a retry, if one can help.
 
-    /// @brief Kind, detail and remedy in one line.
+    /// @brief Kind, detail and remedy in one line of text.
     [[nodiscard]] std::string message() const;
 };
 
--- a/include/jackdawvane/foundation/json_codec.hpp
+++ b/include/jackdawvane/foundation/json_codec.hpp
@@ -19,7 +19,7 @@
 /// @file
 /// @brief JSON codec for structures that list their fields as a table of member pointers.
 ///
-/// A structure takes part by declaring
+/// A structure is supported when it declares
 /// `static constexpr auto fields() { return std::tuple{field("name", &type::member), ...}; }`.
 /// Strong ids, numbers, durations (whole microseconds, key suffix `_us` by convention),
 /// enumerations with `enum_names`, optionals, vectors and maps are supported as members.
@@ -53,14 +53,14 @@
     enum_names<Enum>::table;
 };
 
-/// @brief Mistake found while decoding: the path of the key and what is wrong there.
+/// @brief Decoding error: the path of the key and what is wrong with its value.
 struct decode_problem {
     std::string path;
     std::string message;
     std::ptrdiff_t offset{0}; ///< Byte offset of the value in the parsed text.
 };
 
-/// @brief Collects every mistake of a decode run.
+/// @brief All errors found while decoding one value.
 using decode_problems = std::vector<decode_problem>;
 
 namespace detail {
@@ -85,16 +85,16 @@
     return detail::json_traits<Value>::encode(value);
 }
 
-/// @brief Reads @a value from @a json; appends every mistake to @a problems.
-/// @param path key path of @a json, used in the messages
+/// @brief Decodes @a json into @a value; appends every error to @a problems.
+/// @param path key path of @a json, used in error messages
 template <class Value>
 void from_json(const Json::Value& json, Value& value, const std::string& path,
                decode_problems& problems) {
     detail::json_traits<Value>::decode(json, value, path, problems);
 }
 
-/// @brief Reads a @a Value from @a json.
-/// @return the value, or `malformed_request` with the first mistake
+/// @brief Decodes @a json as a @a Value.
+/// @return the value, or `malformed_request` with the first error
 template <class Value>
 [[nodiscard]] result<Value> from_json(const Json::Value& json) {
     Value value{};
@@ -110,7 +110,7 @@
 /// @brief Compact text of @a json on one line.
 [[nodiscard]] std::string write_json(const Json::Value& json);
 
-/// @brief Parses one JSON text, comments allowed.
+/// @brief Parses one JSON text; comments are allowed.
 /// @return the value, or `malformed_request` with line and column
 [[nodiscard]] result<Json::Value> parse_json(std::string_view text);
 
@@ -413,7 +413,7 @@
 
 template <>
 struct json_traits<endpoint> {
-    /// An endpoint that is not set has no text that `decode` accepts, so its key is left out.
+    /// `decode` accepts no text for an endpoint that is not set, so its key is omitted.
     static Json::Value encode(const endpoint& value) {
         if (value.address.empty()) {
             return {};
--- a/include/jackdawvane/foundation/random.hpp
+++ b/include/jackdawvane/foundation/random.hpp
@@ -4,7 +4,7 @@
 
 namespace jackdawvane {
 
-/// @brief Random engine of the core; the host hands it in with a seed.
+/// @brief Random engine of the core, seeded by the host.
 using random_engine = std::mt19937_64;
 
 } // namespace jackdawvane
--- a/include/jackdawvane/foundation/time.hpp
+++ b/include/jackdawvane/foundation/time.hpp
@@ -8,9 +8,9 @@
 /// @brief Resolution of all durations in the core.
 using duration = std::chrono::microseconds;
 
-/// @brief Tag of the monotonic time line that a host supplies.
+/// @brief Clock type of the monotonic time that a host supplies.
 ///
-/// It has no `now()`: the core never reads a clock, every event carries its time.
+/// It has no `now()`: the core never reads a clock; each event is passed with its time.
 struct node_clock {
     using duration = std::chrono::microseconds;
     using rep = duration::rep;
@@ -19,10 +19,10 @@
     static constexpr bool is_steady = true;
 };
 
-/// @brief Point on the host's monotonic time line.
+/// @brief Point in the host's monotonic time.
 using time_point = node_clock::time_point;
 
-/// @brief Point in time that never arrives; the deadline of work without one.
+/// @brief Time point that is never reached; stands for the absence of a deadline.
 inline constexpr time_point no_deadline = time_point::max();
 
 /// @brief Whole milliseconds of @a value, rounded towards zero.
--- a/include/jackdawvane/foundation/types.hpp
+++ b/include/jackdawvane/foundation/types.hpp
@@ -11,7 +11,7 @@
 
 namespace jackdawvane {
 
-/// @brief Textual identifier that does not convert to identifiers of another kind.
+/// @brief Strongly typed text identifier; ids of different kinds do not convert to each other.
 template <class Tag>
 class basic_id {
   public:
@@ -20,7 +20,6 @@
     explicit basic_id(std::string_view text) : text_{text} {}
     explicit basic_id(const char* text) : text_{text} {}
 
-    /// @brief Text of the identifier.
     [[nodiscard]] const std::string& str() const noexcept { return text_; }
     [[nodiscard]] bool empty() const noexcept { return text_.empty(); }
 
@@ -33,7 +32,7 @@
     std::string text_;
 };
 
-/// @brief Counted quantity that does not convert to quantities of another kind.
+/// @brief Strongly typed number; numbers of different kinds do not convert to each other.
 template <class Tag>
 class basic_number {
   public:
@@ -41,7 +40,6 @@
     constexpr explicit basic_number(std::uint64_t value) noexcept : value_{value} {}
 
     [[nodiscard]] constexpr std::uint64_t value() const noexcept { return value_; }
-    /// @brief The next higher number.
     [[nodiscard]] constexpr basic_number next() const noexcept { return basic_number{value_ + 1}; }
 
     friend constexpr auto operator<=>(const basic_number&, const basic_number&) = default;
@@ -61,35 +59,35 @@
 using group_id = basic_id<struct group_id_tag>;
 using pool_name = basic_id<struct pool_name_tag>;
 using route_name = basic_id<struct route_name_tag>;
-/// @brief Organisations whose rates are divided among the same VMs in the same parts.
+/// @brief Set of organisations whose rates are divided among the same VMs in the same proportions.
 using share_group_id = basic_id<struct share_group_id_tag>;
-/// @brief Name that the caller gives to a non-idempotent request (idempotency key).
+/// @brief Idempotency key that a caller assigns to a non-idempotent request.
 using request_name = basic_id<struct request_name_tag>;
 /// @brief Identifies one edit of the configuration, chosen by the operator's client.
 using edit_id = basic_id<struct edit_id_tag>;
-/// @brief Hexadecimal SHA-256 digest of a caller's key.
+/// @brief Hexadecimal SHA-256 digest of a caller's API key.
 using key_digest = basic_id<struct key_digest_tag>;
-/// @brief Identifies an interactive transaction: owner VM, its incarnation and a number.
+/// @brief Identifies an interactive transaction by its owner VM, the VM's incarnation and a number.
 using transaction_id = basic_id<struct transaction_id_tag>;
 
 /// @brief Election term of a database group.
 using term = basic_number<struct term_tag>;
 /// @brief Position of an entry in the log of a database group; 0 is the empty log.
 using log_position = basic_number<struct log_position_tag>;
-/// @brief Revision of the configuration document; rises with each accepted edit.
+/// @brief Revision of the configuration document; increases with each accepted edit.
 using revision = basic_number<struct revision_tag>;
-/// @brief Number of one life of a VM's process; a replacement has a higher one.
+/// @brief Incarnation number of a VM's process; a restarted or replaced process has a higher one.
 using vm_incarnation = basic_number<struct vm_incarnation_tag>;
 /// @brief Host-local number of an open connection to a backend server.
 using connection_id = basic_number<struct connection_id_tag>;
 /// @brief Host-local number of a caller's request that waits for its answer.
 using caller_id = basic_number<struct caller_id_tag>;
-/// @brief Number of a request at the VM that issued it.
+/// @brief Number of a request, unique at the VM that issued it.
 using request_id = basic_number<struct request_id_tag>;
 
 /// @brief Numeric address and port of a process.
 struct endpoint {
-    std::string address;   ///< IP number in text form.
+    std::string address;   ///< IP address as text.
     std::uint16_t port{0}; ///< TCP or UDP port.
 
     friend auto operator<=>(const endpoint&, const endpoint&) = default;
--- a/src/core/foundation/error.cpp
+++ b/src/core/foundation/error.cpp
@@ -14,71 +14,72 @@
 };
 
 constexpr std::array error_texts{
-    error_text{error_kind::none, "none", "nothing to do"},
+    error_text{error_kind::none, "none", "no action needed"},
     error_text{error_kind::malformed_request, "malformed_request",
-               "correct the request as the detail says"},
+               "correct the request as described in the detail"},
     error_text{error_kind::unknown_route, "unknown_route",
                "use a route from the routes table, or add it with jackdawvanectl apply"},
     error_text{error_kind::unknown_transaction, "unknown_transaction",
-               "the transaction has ended; after outcome unknown check the data, else begin a new "
-               "one"},
+               "the transaction has ended; if its outcome is unknown, check the data, otherwise "
+               "begin a new one"},
     error_text{error_kind::missing_key, "missing_key",
                "send the organisation's key as Authorization: Bearer KEY"},
     error_text{error_kind::unknown_key, "unknown_key",
-               "the key was never given or was withdrawn; ask the operator for a new one"},
+               "the key was never issued or has been withdrawn; ask the operator for a new one"},
     error_text{error_kind::organisation_not_allowed, "organisation_not_allowed",
-               "use a route that lists the organisation, or have the operator add it"},
+               "use a route that allows the organisation, or ask the operator to add it"},
     error_text{error_kind::rate_exceeded, "rate_exceeded",
-               "send again after retry_after, or have the operator raise the rate"},
-    error_text{error_kind::queue_full, "queue_full", "send again after retry_after"},
-    error_text{error_kind::deadline_exceeded, "deadline_exceeded",
-               "send again with a longer deadline"},
-    error_text{error_kind::leaving, "leaving", "send again now; another VM will serve it"},
+               "retry once retry_after has elapsed, or ask the operator to raise the rate"},
+    error_text{error_kind::queue_full, "queue_full", "retry once retry_after has elapsed"},
+    error_text{error_kind::deadline_exceeded, "deadline_exceeded", "retry with a longer deadline"},
+    error_text{error_kind::leaving, "leaving",
+               "retry immediately; another VM will serve the request"},
     error_text{error_kind::isolated, "isolated",
-               "this failure domain is cut off and the route refuses keys meanwhile; "
+               "this failure domain is isolated and the route rejects keys until it reconnects; "
                "use another failure domain"},
     error_text{error_kind::no_configuration, "no_configuration",
-               "the VM has not received a configuration yet; send again after retry_after"},
+               "the VM has not received a configuration yet; retry once retry_after has elapsed"},
     error_text{error_kind::malformed_token, "malformed_token",
-               "send the session token unchanged as the last answer gave it, or start a new "
+               "send the session token of the last answer unchanged, or start a new "
                "session"},
     error_text{error_kind::token_ahead, "token_ahead",
-               "no backend server has reached the session's position; send again after "
-               "retry_after"},
+               "no backend server has reached the session's position; retry once "
+               "retry_after has elapsed"},
     error_text{error_kind::history_lost, "history_lost",
                "a failover discarded unacknowledged entries that this session had seen; check "
                "the data and start a new session"},
-    error_text{error_kind::replica_behind, "replica_behind", "send again after retry_after"},
+    error_text{error_kind::replica_behind, "replica_behind", "retry once retry_after has elapsed"},
     error_text{error_kind::staleness_unproved, "staleness_unproved",
-               "send again after retry_after, or accept older data"},
+               "retry once retry_after has elapsed, or accept older data"},
     error_text{error_kind::no_backend_server, "no_backend_server",
-               "send again after retry_after; the operator should check the pool's backend "
+               "retry once retry_after has elapsed; the operator should check the pool's backend "
                "servers"},
     error_text{error_kind::no_primary, "no_primary",
-               "a failover is under way; send again after retry_after"},
+               "a failover is in progress; retry once retry_after has elapsed"},
     error_text{error_kind::term_unconfirmed, "term_unconfirmed",
-               "the primary is cut off from a majority of its group; send again after "
-               "retry_after"},
+               "the primary cannot reach a majority of its group; retry once "
+               "retry_after has elapsed"},
     error_text{error_kind::replicas_lagging, "replicas_lagging",
-               "send again with a longer deadline, or set the route's fencing to primary_alone"},
-    error_text{error_kind::wrong_owner, "wrong_owner", "send again now"},
-    error_text{error_kind::fenced, "fenced", "send again; the primary has been replaced"},
+               "retry with a longer deadline, or set the route's fencing to primary_alone"},
+    error_text{error_kind::wrong_owner, "wrong_owner", "retry immediately"},
+    error_text{error_kind::fenced, "fenced", "retry; the primary has been replaced"},
     error_text{error_kind::name_required, "name_required",
                "send an Idempotency-Key with each write"},
     error_text{error_kind::name_reused, "name_reused",
                "use a new Idempotency-Key for a different request"},
     error_text{error_kind::connection_lost, "connection_lost",
-               "send again with the same Idempotency-Key to learn the outcome"},
+               "retry with the same Idempotency-Key to learn the outcome"},
     error_text{error_kind::commit_unconfirmed, "commit_unconfirmed",
-               "send again with the same Idempotency-Key to learn the outcome"},
+               "retry with the same Idempotency-Key to learn the outcome"},
     error_text{error_kind::statement_failed, "statement_failed",
                "correct the statement; the transaction was rolled back"},
     error_text{error_kind::conflict, "conflict",
-               "read the row again and apply the edit to its present value"},
+               "read the row again and apply the edit to its current value"},
     error_text{error_kind::invalid_configuration, "invalid_configuration",
-               "correct the rows that the detail lists and apply again"},
-    error_text{error_kind::store_unavailable, "store_unavailable",
-               "the platform's store does not answer; traffic goes on, try the edit again later"},
+               "correct the rows listed in the detail and apply the edit again"},
+    error_text{
+        error_kind::store_unavailable, "store_unavailable",
+        "the platform's store does not answer; requests are still served, retry the edit later"},
     error_text{error_kind::internal, "internal", "report the detail to the maintainers"},
 };
 
--- a/src/core/foundation/json_codec.cpp
+++ b/src/core/foundation/json_codec.cpp
@@ -7,7 +7,7 @@
 namespace jackdawvane {
 
 std::string write_json(const Json::Value& json) {
-    // Building a writer or reader takes a tenth of the time of a typical message.
+    // Reused, because building a writer or reader takes a tenth of the time of a typical message.
     thread_local const auto writer = [] {
         Json::StreamWriterBuilder settings;
         settings["indentation"] = "";
@@ -26,7 +26,7 @@
         settings["collectComments"] = false;
         settings["failIfExtra"] = true;
         settings["rejectDupKeys"] = true;
-        // The default of 1000 lets nested input from the network use a large part of the stack.
+        // With the default of 1000, nested input from the network could use much of the stack.
         settings["stackLimit"] = 64;
         return std::unique_ptr<Json::CharReader>{settings.newCharReader()};
     }();
@@ -59,7 +59,7 @@
         colon != std::string::npos && colon > 0 &&
         std::from_chars(text.data() + colon + 1, end, port) == std::from_chars_result{end, {}};
     if (!has_port || port == 0) {
-        add_problem(problems, path, "must be ADDRESS:PORT with an IP number", json);
+        add_problem(problems, path, "must be ADDRESS:PORT with an IP address", json);
         return;
     }
     value = endpoint{text.substr(0, colon), port};
--- a/tests/core/json_codec_test.cpp
+++ b/tests/core/json_codec_test.cpp
@@ -7,7 +7,7 @@
 namespace jackdawvane {
 namespace {
 
-/// Guards against a message that changes on its way between two VMs.
+/// Guards against a message that is changed by encoding and decoding.
 TEST(JsonCodec, PeerMessageSurvivesEncodingAndDecoding) {
     forward_request sent;
     sent.id = request_id{7};
@@ -23,7 +23,7 @@
     EXPECT_EQ(write_json(encode(received.value())), write_json(encode(sent)));
 }
 
-/// Guards against a request that the backend server cannot read because a part is not set.
+/// Guards against a request that the backend server cannot decode because a field is not set.
 TEST(JsonCodec, RequestWithoutAnEndpointSurvivesEncodingAndDecoding) {
     const auto sent = to_json(backend_request{});
     const auto received = from_json<backend_request>(sent);
@@ -41,7 +41,7 @@
 };
 
 struct compact_whole {
-    compact_part own{7, true}; ///< Another default than its type's.
+    compact_part own{7, true}; ///< The default differs from that of its type.
     std::optional<compact_part> maybe;
     std::vector<compact_part> list;
     static constexpr auto fields() {
@@ -58,7 +58,7 @@
 
 class CompactJson : public testing::TestWithParam<compact_case> {};
 
-/// Guards against a field that is left out though the decoder's default is another one.
+/// Guards against omitting a field whose value differs from the decoder's default.
 TEST_P(CompactJson, LeavesOutDefaultsAndReadsTheSame) {
     const auto compact = to_compact_json(GetParam().value);
     EXPECT_EQ(write_json(compact), GetParam().text);
@@ -87,7 +87,7 @@
 
 class MalformedInput : public testing::TestWithParam<malformed_case> {};
 
-/// Guards against input that is accepted in part or whose error does not name the key.
+/// Guards against partially accepted input and against errors that do not name the key.
 TEST_P(MalformedInput, IsReportedWithItsKey) {
     const auto json = parse_json(GetParam().json);
     ASSERT_TRUE(json);
@@ -107,7 +107,7 @@
                     malformed_case{"type", R"([])", "must be an object"}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against stack exhaustion by nested input from the network.
+/// Guards against stack exhaustion by deeply nested input from the network.
 TEST(JsonCodec, DeepNestingIsRefused) {
     EXPECT_FALSE(parse_json(std::string(100000, '[')));
 }
