--- a/include/jackdawvane/node/action_dispatcher.hpp
+++ b/include/jackdawvane/node/action_dispatcher.hpp
@@ -4,7 +4,7 @@
 
 namespace jackdawvane {
 
-/// @brief Where log lines and measurements go.
+/// @brief Receives log lines and measurements.
 class diagnostics_port {
   public:
     diagnostics_port() = default;
@@ -27,16 +27,16 @@
     diagnostics_port& diagnostics;
 };
 
-/// @brief Hands the actions of a node to the ports of its host.
+/// @brief Passes the actions of a node to the ports of its host.
 class action_dispatcher {
   public:
-    /// @param ports have to outlive the dispatcher
+    /// @param ports ports of the host; must outlive the dispatcher
     explicit action_dispatcher(port_set ports) noexcept : ports_{ports} {}
 
-    /// @brief Carries out @a batch in order.
+    /// @brief Executes the actions of @a batch in order.
     void dispatch(const actions& batch);
 
-    /// @brief Whether a `stopped` action has been seen.
+    /// @brief Whether a `stopped` action has been dispatched.
     [[nodiscard]] bool stopped() const noexcept { return stopped_; }
 
   private:
--- a/include/jackdawvane/node/backend.hpp
+++ b/include/jackdawvane/node/backend.hpp
@@ -13,7 +13,7 @@
 /// @file
 /// @brief Messages between an owner VM and a backend server.
 ///
-/// One connection carries one request at a time. Every answer repeats the request's id.
+/// A connection has at most one request in flight. Every answer repeats the request's id.
 
 namespace jackdawvane {
 
@@ -37,14 +37,14 @@
         {{backend_role::replica, "replica"}, {backend_role::primary, "primary"}}};
 };
 
-/// @brief State that a backend server reports about itself with every answer.
+/// @brief State of a backend server, which it reports with every answer.
 struct backend_status {
     backend_role role{backend_role::replica};
     term accepted_term;              ///< Highest term that it accepted.
     term last_entry_term;            ///< Term of its last log entry.
     log_position position;           ///< Position of its last log entry.
     std::vector<term_start> history; ///< Most recent terms, oldest first.
-    std::uint32_t connections{0};    ///< Connections that are open now, from all VMs.
+    std::uint32_t connections{0};    ///< Number of open connections from all VMs.
 
     static constexpr auto fields() {
         return std::tuple{field("role", &backend_status::role),
@@ -58,8 +58,8 @@
 
 /// @brief Operations that a backend server offers.
 enum class backend_operation {
-    status,      ///< Report the status, at once or when the position passes `after`.
-    execute,     ///< One transaction with all statements.
+    status,      ///< Report the status, immediately or when the position passes `after`.
+    execute,     ///< Run all statements in one transaction.
     begin,       ///< Open a transaction on this connection.
     statements,  ///< Run statements in the open transaction of this connection.
     commit,      ///< Commit the open transaction of this connection.
@@ -87,15 +87,15 @@
 struct backend_request {
     request_id id;
     backend_operation operation{backend_operation::status};
-    term expected_term; ///< Writes run only if this is the primary's term; 0 checks none.
+    term expected_term; ///< Writes run only if this is the primary's term; 0 disables the check.
     access_mode mode{access_mode::read};
-    request_name name;       ///< Key of the request table, scoped by the organisation.
-    std::string fingerprint; ///< Digest of the request's body; tells a reused name.
-    Json::Value statements;  ///< List of statements.
+    request_name name;       ///< Key of the request table, unique within the organisation.
+    std::string fingerprint; ///< Digest of the request's body; detects a reused name.
+    Json::Value statements;  ///< Array of statements.
     log_position after;      ///< `status`: answer once the position is past this one.
-    duration wait{0};        ///< `status`: longest time to hold the answer.
-    vm_id candidate;         ///< `accept_term`, `promote`: the VM that orders the promotion.
-    endpoint primary;        ///< `follow`: where to replicate from.
+    duration wait{0};        ///< `status`: maximum time to hold the answer.
+    vm_id candidate;         ///< `accept_term`, `promote`: VM that requests the promotion.
+    endpoint primary;        ///< `follow`: primary to replicate from.
 
     static constexpr auto fields() {
         return std::tuple{field("id", &backend_request::id),
@@ -121,9 +121,9 @@
     request_id id;
     error problem{error_kind::none, {}, {}};
     backend_status status;
-    log_position written; ///< Position of the request's own log entry; 0 if it wrote nothing.
+    log_position written; ///< Position of the request's log entry; 0 if it wrote nothing.
     term written_term;    ///< Term of that entry.
-    bool repeated{false}; ///< The request table held the first answer already.
+    bool repeated{false}; ///< Taken from the request table; the request ran earlier.
     Json::Value results;  ///< One entry per statement.
 
     static constexpr auto fields() {
--- a/include/jackdawvane/node/caller.hpp
+++ b/include/jackdawvane/node/caller.hpp
@@ -22,9 +22,9 @@
         {{access_mode::read, "read"}, {access_mode::write, "write"}}};
 };
 
-/// @brief What a request asks for within its transaction.
+/// @brief Operation of a request in its transaction.
 enum class request_kind {
-    single,     ///< One transaction with all statements in one request.
+    single,     ///< Runs all statements in one transaction with one request.
     begin,      ///< Opens an interactive transaction.
     statements, ///< Runs statements in an open interactive transaction.
     commit,     ///< Commits an interactive transaction.
@@ -41,27 +41,27 @@
          {request_kind::rollback, "rollback"}}};
 };
 
-/// @brief Request as it arrives from a caller.
+/// @brief Request received from a caller.
 struct caller_request {
     caller_id caller; ///< Chosen by the host; the answer carries it.
     request_kind kind{request_kind::single};
     route_name route;           ///< Empty for the follow-up requests of a transaction.
     transaction_id transaction; ///< Set for the follow-up requests of a transaction.
-    std::string key;            ///< The caller's key in clear; never leaves the entry.
+    std::string key;            ///< The caller's API key in plain text; never leaves the entry VM.
     std::string session;        ///< Session token, empty for a new session.
     request_name name;          ///< Idempotency key; required for writes.
     std::string partition;      ///< Selects the database group within the pool.
     access_mode mode{access_mode::read};
     Json::Value statements{Json::arrayValue};
-    std::optional<duration> timeout;       ///< Time until the caller gives up.
-    std::optional<duration> max_staleness; ///< Age of data that a read accepts.
+    std::optional<duration> timeout;       ///< Time until the caller stops waiting.
+    std::optional<duration> max_staleness; ///< Maximum age of the data that a read accepts.
 };
 
-/// @brief The three outcomes of a request.
+/// @brief Outcome of a request.
 enum class outcome {
-    done,    ///< Ran once; the answer is whole.
+    done,    ///< Ran exactly once; the answer is complete.
     not_run, ///< Did not run and will not run.
-    unknown, ///< May have run; a repeat with the same name tells.
+    unknown, ///< May have run; a retry with the same name returns the outcome.
 };
 
 template <>
@@ -74,13 +74,13 @@
 struct caller_answer {
     caller_id caller;
     outcome result{outcome::not_run};
-    error problem{error_kind::none, {}, {}}; ///< Kind `none` unless something went wrong.
+    error problem{error_kind::none, {}, {}}; ///< Kind `none` on success.
     Json::Value results{Json::arrayValue};   ///< One entry per statement.
     std::string session;                     ///< Session token for the next request.
     transaction_id transaction;              ///< Set after `begin`.
     backend_server_id served_by;             ///< Backend server that ran the request.
     bool from_replica{false};
-    bool repeated{false}; ///< The first answer of an earlier run.
+    bool repeated{false}; ///< The answer is that of an earlier run.
 };
 
 } // namespace jackdawvane
--- a/include/jackdawvane/node/node_interface.hpp
+++ b/include/jackdawvane/node/node_interface.hpp
@@ -7,9 +7,9 @@
 
 namespace jackdawvane {
 
-/// @brief What a host drives: events go in, actions come out.
+/// @brief State machine driven by a host: it takes events and returns actions.
 ///
-/// A node does no I/O and reads no clock. It is not thread-safe: one thread calls it.
+/// A node does no I/O and reads no clock. It is not thread-safe: only one thread may call it.
 class node_interface {
   public:
     node_interface() = default;
@@ -19,16 +19,16 @@
     node_interface& operator=(node_interface&&) = delete;
     virtual ~node_interface() = default;
 
-    /// @brief Takes one event.
-    /// @param now time of the event; never earlier than that of the event before
+    /// @brief Processes one event.
+    /// @param now time of the event; never earlier than that of the previous event
     /// @param what the event
-    /// @param out actions are appended; the host carries them out in order
+    /// @param out receives the actions, which the host executes in order
     virtual void handle(time_point now, const event& what, actions& out) = 0;
 
-    /// @brief Time at which the host has to deliver a `timer_tick` at the latest.
+    /// @brief Latest time at which the host has to deliver a `timer_tick`.
     [[nodiscard]] virtual time_point next_deadline() const = 0;
 
-    /// @brief State for operators: configuration revision, VMs, groups, shares, queues.
+    /// @brief State for operators: configuration revision, VMs, groups, shares and queues.
     [[nodiscard]] virtual Json::Value describe() const = 0;
 
     /// @brief Whether the node has a configuration and accepts requests.
--- a/include/jackdawvane/node/peer.hpp
+++ b/include/jackdawvane/node/peer.hpp
@@ -14,11 +14,11 @@
 #include <vector>
 
 /// @file
-/// @brief One-way messages between VMs. A lost or repeated message is always tolerated.
+/// @brief One-way messages between VMs. Receivers tolerate lost and duplicated messages.
 
 namespace jackdawvane {
 
-/// @brief Position in the history of a database group that a session has seen.
+/// @brief Position in the log of a database group up to which a session has seen commits.
 struct session_position {
     group_id group;
     jackdawvane::term term; ///< Term of the log entry at `position`.
@@ -32,12 +32,12 @@
     friend bool operator==(const session_position&, const session_position&) = default;
 };
 
-/// @brief What an owner last saw of its backend server.
+/// @brief Last state of a backend server as known to its owner VM.
 struct backend_report {
     backend_server_id backend;
     bool reachable{false};
     backend_status status;
-    duration age{0}; ///< Time from before the status was asked until the report was sent.
+    duration age{0}; ///< Time from before the status request until the report was sent.
 
     static constexpr auto fields() {
         return std::tuple{field("backend", &backend_report::backend),
@@ -47,16 +47,16 @@
     }
 };
 
-/// @brief Owner to the owners of the group's other backend servers.
+/// @brief Sent by an owner VM to the owners of the group's other backend servers.
 struct group_report {
     static constexpr const char* method = "group.report";
     group_id group;
     backend_report report;
     jackdawvane::term known_term; ///< Highest term with a known primary.
     backend_server_id primary;    ///< Primary of that term.
-    log_position wanted;          ///< A writer of the sender waits for this position.
-    backend_server_id receiver;   ///< Backend server whose owner this copy is for.
-    duration sent_at{0};          ///< Sender's clock; the receiver hands it back unchanged.
+    log_position wanted;          ///< A write at the sender waits for this position.
+    backend_server_id receiver;   ///< Backend server whose owner receives this copy.
+    duration sent_at{0};          ///< Sender's clock; the receiver echoes it unchanged.
     duration echo_sent_at{0};     ///< `sent_at` of the receiver's last report; 0 for none.
     duration echo_age{0};         ///< Time from the arrival of that report until this was sent.
 
@@ -73,7 +73,7 @@
     }
 };
 
-/// @brief Entry to owner: run a request on one backend server.
+/// @brief Sent by the entry VM to an owner VM: run a request on one backend server.
 struct forward_request {
     static constexpr const char* method = "request.forward";
     request_id id; ///< Unique at the sending VM incarnation.
@@ -88,9 +88,9 @@
     std::string fingerprint;
     access_mode mode{access_mode::read};
     Json::Value statements{Json::arrayValue};
-    std::vector<session_position> session; ///< Positions that the answer has to include.
+    std::vector<session_position> session; ///< Log positions that the answer must include.
     std::optional<duration> max_staleness;
-    duration remaining{0}; ///< Time left until the deadline when this was sent.
+    duration remaining{0}; ///< Time from sending until the deadline.
     fencing_mode fencing{fencing_mode::majority};
 
     static constexpr auto fields() {
@@ -113,8 +113,8 @@
     }
 };
 
-/// @brief What a VM knows about a group; sent back with each forwarded request, and to all VMs by
-/// the owner of a new primary.
+/// @brief State of a group as known to a VM; returned with each reply to a forwarded request, and
+/// sent to all VMs by the owner of a new primary.
 struct group_summary {
     static constexpr const char* method = "group.summary";
     group_id group;
@@ -130,14 +130,14 @@
     }
 };
 
-/// @brief Owner to entry: how a forwarded request ended.
+/// @brief Sent by an owner VM to the entry VM: result of a forwarded request.
 struct forward_reply {
     static constexpr const char* method = "request.reply";
     request_id id;
     outcome result{outcome::not_run};
     error problem{error_kind::none, {}, {}};
     Json::Value results{Json::arrayValue};
-    std::optional<session_position> seen; ///< Log prefix that the answer reflects.
+    std::optional<session_position> seen; ///< Log position that the answer reflects.
     transaction_id transaction;
     backend_server_id backend;
     bool from_replica{false};
@@ -158,7 +158,7 @@
     }
 };
 
-/// @brief Health of a VM as the membership protocol spreads it.
+/// @brief Health of a VM as disseminated by the membership protocol.
 enum class member_health { alive, suspect, dead, left };
 
 template <>
@@ -170,13 +170,13 @@
          {member_health::left, "left"}}};
 };
 
-/// @brief One piece of membership news.
+/// @brief Membership update of one VM.
 struct member_update {
     vm_entry entry;
-    vm_incarnation incarnation;  ///< Life of the process.
-    std::uint64_t refutation{0}; ///< Raised by a VM to refute a suspicion of itself.
+    vm_incarnation incarnation;  ///< Incarnation of the VM's process.
+    std::uint64_t refutation{0}; ///< Incremented by a VM to refute a suspicion.
     member_health health{member_health::alive};
-    std::uint64_t list_version{0}; ///< Version of the VM list that `listed` is from; 0 for none.
+    std::uint64_t list_version{0}; ///< Version of the VM list behind `listed`; 0 for none.
     bool listed{false};            ///< On the platform's VM list, with the state of `entry`.
 
     static constexpr auto fields() {
@@ -200,13 +200,13 @@
          {probe_kind::ack, "ack"}}};
 };
 
-/// @brief Membership probe; travels as a datagram.
+/// @brief Membership probe; sent as a datagram.
 struct membership_probe {
     static constexpr const char* method = "membership.probe";
     probe_kind kind{probe_kind::ping};
     std::uint64_t sequence{0};
-    vm_id target;                   ///< VM that is probed; differs from the receiver for requests.
-    jackdawvane::revision revision; ///< Configuration revision of the sender.
+    vm_id target;                      ///< Probed VM; for a `ping_request`, not the receiver.
+    jackdawvane::revision revision;    ///< Configuration revision of the sender.
     std::optional<duration> store_age; ///< Time since the store was last known to answer.
     std::vector<member_update> updates;
 
@@ -220,7 +220,7 @@
     }
 };
 
-/// @brief A newer configuration revision exists at the sender.
+/// @brief Announces a configuration revision that the sender has.
 struct configuration_announce {
     static constexpr const char* method = "configuration.announce";
     jackdawvane::revision revision;
@@ -230,7 +230,7 @@
     }
 };
 
-/// @brief Ask for all edits after a revision.
+/// @brief Requests all edits after a revision.
 struct configuration_pull {
     static constexpr const char* method = "configuration.pull";
     jackdawvane::revision after;
@@ -240,7 +240,7 @@
     }
 };
 
-/// @brief Edits after the asked revision, or the whole document when they are no longer kept.
+/// @brief Edits after the requested revision, or the document when its history lacks some of them.
 struct configuration_difference {
     static constexpr const char* method = "configuration.difference";
     std::vector<configuration_edit> edits;
@@ -252,14 +252,14 @@
     }
 };
 
-/// @brief Ask a share holder for tokens.
+/// @brief Requests tokens from a share holder.
 struct token_request {
     static constexpr const char* method = "tokens.request";
     request_id id;
     organisation_id organisation;
-    double amount{0};      ///< Tokens wanted.
-    double waiting{0};     ///< Tokens that requests already wait for.
-    duration valid_for{0}; ///< The receiver of the grant accepts it this long after asking.
+    double amount{0};      ///< Tokens requested.
+    double waiting{0};     ///< Tokens needed by requests that wait already.
+    duration valid_for{0}; ///< Time after the request for which a grant is accepted.
 
     static constexpr auto fields() {
         return std::tuple{
@@ -269,13 +269,13 @@
     }
 };
 
-/// @brief Tokens that the sender has subtracted from its own bucket.
+/// @brief Grants tokens, which the sender has subtracted from its own bucket.
 struct token_grant {
     static constexpr const char* method = "tokens.grant";
     request_id id;
     organisation_id organisation;
     double amount{0};
-    double left{0}; ///< Tokens that the donor still has; a hint for the next request.
+    double left{0}; ///< Tokens remaining at the donor; a hint for the next request.
 
     static constexpr auto fields() {
         return std::tuple{field("id", &token_grant::id),
@@ -284,7 +284,7 @@
     }
 };
 
-/// @brief The grant arrived; the donor may count its capacity in full again.
+/// @brief Acknowledges a grant; the donor may use its full capacity again.
 struct token_acknowledgement {
     static constexpr const char* method = "tokens.acknowledgement";
     request_id id;
@@ -296,12 +296,12 @@
     }
 };
 
-/// @brief Ask a share holder to move a part of its rate here.
+/// @brief Requests that a share holder transfer part of its rate to the sender.
 struct share_request {
     static constexpr const char* method = "share.request";
     organisation_id organisation;
-    double demand{0}; ///< Requests per second that the asker sees.
-    double rate{0};   ///< Rate that the asker holds now.
+    double demand{0}; ///< Requests per second that arrive at the sender.
+    double rate{0};   ///< Rate that the sender currently holds.
 
     static constexpr auto fields() {
         return std::tuple{field("organisation", &share_request::organisation),
@@ -310,12 +310,12 @@
     }
 };
 
-/// @brief A share record changed.
+/// @brief Announces a changed share record.
 struct share_notice {
     static constexpr const char* method = "share.notice";
     share_group_id group;
     std::uint64_t version{0}; ///< Store version of the record.
-    /// What the store has at that version. Without it the receiver reads the record.
+    /// Record at that version. If absent, the receiver reads it from the store.
     std::optional<share_record> record;
 
     static constexpr auto fields() {
@@ -325,12 +325,12 @@
     }
 };
 
-/// @brief Ask a VM what it knows of the backend servers.
+/// @brief Requests the last observed state of backend servers from a VM.
 struct observation_query {
     static constexpr const char* method = "observation.query";
     std::uint64_t number{0};
-    std::uint64_t directory_version{0}; ///< Directory that the asker has.
-    std::vector<group_id> groups;       ///< Whose members the asker wants to know of.
+    std::uint64_t directory_version{0}; ///< Version of the directory at the sender.
+    std::vector<group_id> groups;       ///< Groups whose servers are queried.
 
     static constexpr auto fields() {
         return std::tuple{field("number", &observation_query::number),
@@ -344,7 +344,7 @@
     backend_server_id backend;
     group_id group;
     std::optional<member_status> status; ///< Absent when nothing listens at its address.
-    duration age{0}; ///< Time from before the status was asked until the reply was sent.
+    duration age{0}; ///< Time from before the status request until the reply was sent.
 
     static constexpr auto fields() {
         return std::tuple{field("backend", &member_observation::backend),
@@ -357,12 +357,12 @@
 /// @brief Answer to `observation_query`.
 struct observation_reply {
     static constexpr const char* method = "observation.reply";
-    std::uint64_t number{0}; ///< Of the query.
+    std::uint64_t number{0}; ///< Number of the query.
     std::vector<member_observation> members;
-    std::uint64_t directory_version{0};      ///< Of the last change.
-    std::uint64_t directory_read_version{0}; ///< Of the last reading.
+    std::uint64_t directory_version{0};      ///< Version of the last change.
+    std::uint64_t directory_read_version{0}; ///< Version that was last read.
     duration directory_age{0};
-    std::vector<backend_registration> directory; ///< Empty when the asker has this version.
+    std::vector<backend_registration> directory; ///< Empty when the requester has this version.
 
     static constexpr auto fields() {
         using self = observation_reply;
@@ -375,7 +375,8 @@
     }
 };
 
-/// @brief All replicas of a group are held: its primary of `term` ends.
+/// @brief All replicas of a group are held for a term above `term`, which ends the leadership of
+/// its primary of `term`.
 struct group_hold {
     static constexpr const char* method = "group.hold";
     group_id group;
--- a/include/jackdawvane/node/ports.hpp
+++ b/include/jackdawvane/node/ports.hpp
@@ -12,22 +12,22 @@
 #include <vector>
 
 /// @file
-/// @brief Events that a host feeds into a node, actions that the node returns, and the four
-/// ports that carry the actions out.
+/// @brief Events that a host passes to a node, actions that the node returns, and the four ports
+/// that execute the actions.
 
 namespace jackdawvane {
 
-/// @brief A caller gave up or its connection closed before the answer.
+/// @brief A caller stopped waiting, or its connection closed, before the answer.
 struct caller_gone {
     caller_id caller;
 };
 
-/// @brief An opened connection to a backend server is ready.
+/// @brief A connection to a backend server has been established.
 struct backend_connected {
     connection_id connection;
 };
 
-/// @brief A connection could not be opened or has closed. Requests on it get no answer.
+/// @brief A connection failed to open or has closed. Pending requests on it get no answer.
 struct backend_disconnected {
     connection_id connection;
     std::string reason;
@@ -46,7 +46,7 @@
     peer_message message;
 };
 
-/// @brief The reliable channel to a VM failed; what was sent on it may be lost.
+/// @brief The reliable channel to a VM failed; messages sent on it may be lost.
 struct peer_disconnected {
     vm_id vm;
 };
@@ -54,10 +54,10 @@
 /// @brief The host was told to stop gracefully.
 struct stop_requested {};
 
-/// @brief Time has passed; due at the node's next deadline or before.
+/// @brief Reports the current time; due at the node's next deadline at the latest.
 struct timer_tick {};
 
-/// @brief Everything that a host reports to a node.
+/// @brief Any event that a host reports to a node.
 using event = std::variant<caller_request, caller_gone, backend_connected, backend_disconnected,
                            backend_answered, store_answer, peer_received, peer_disconnected,
                            stop_requested, timer_tick>;
@@ -80,9 +80,9 @@
     connection_id connection;
 };
 
-/// @brief How a peer message travels.
+/// @brief Transport of a peer message.
 enum class peer_channel {
-    stream,   ///< Reliable and ordered while the channel lives.
+    stream,   ///< Reliable and ordered while the channel is open.
     datagram, ///< May be lost.
 };
 
@@ -97,21 +97,21 @@
 /// @brief Severity of a log line.
 enum class log_level { debug, info, warning, error };
 
-/// @brief One line about a decision.
+/// @brief One line of the log.
 struct log_decision {
     const char* part{""}; ///< Fixed prefix, for example `router`; static storage.
     log_level level{log_level::info};
     std::string text;
 };
 
-/// @brief How the values of a metric are combined.
+/// @brief Type of a metric, which determines how its values are combined.
 enum class metric_kind { counter, gauge, histogram };
 
 /// @brief One observation of a metric. A histogram's values are in microseconds.
 struct measurement {
     metric_kind kind{metric_kind::counter};
     const char* name{""};  ///< Metric name without the product prefix; static storage.
-    const char* label{""}; ///< Name of the only label; empty for none; static storage.
+    const char* label{""}; ///< Label name; empty without a label; static storage.
     std::string label_value;
     double value{1};
 };
@@ -119,14 +119,14 @@
 /// @brief The node has finished its graceful shutdown; the host may exit.
 struct stopped {};
 
-/// @brief Everything that a node asks of its host.
+/// @brief Any action that a node requests from its host.
 using action = std::variant<caller_answer, open_connection, send_to_backend, close_connection,
                             store_request, send_to_peer, log_decision, measurement, stopped>;
 
-/// @brief Actions in the order in which a host carries them out.
+/// @brief Actions in the order in which the host has to execute them.
 using actions = std::vector<action>;
 
-/// @brief Appends a decision log line to @a out.
+/// @brief Appends a log line to @a out.
 inline void log(actions& out, const char* part, log_level level, std::string text) {
     out.emplace_back(log_decision{part, level, std::move(text)});
 }
@@ -137,7 +137,7 @@
     out.emplace_back(measurement{metric_kind::counter, name, label, std::move(label_value), 1});
 }
 
-/// @brief Where answers to callers go.
+/// @brief Delivers answers to callers.
 class caller_port {
   public:
     caller_port() = default;
@@ -147,13 +147,13 @@
     caller_port& operator=(caller_port&&) = delete;
     virtual ~caller_port() = default;
 
-    /// @brief Delivers @a answer to the caller that it names; ignored if that caller is gone.
+    /// @brief Delivers @a answer to its caller; ignored if that caller has disconnected.
     virtual void answer(const caller_answer& answer) = 0;
 };
 
 /// @brief Connections to backend servers.
 ///
-/// Completion comes back as `backend_connected`, `backend_disconnected` and `backend_answered`
+/// Results are reported as `backend_connected`, `backend_disconnected` and `backend_answered`
 /// events, never from within these calls.
 class backend_port {
   public:
@@ -169,7 +169,7 @@
     virtual void close(const close_connection& request) = 0;
 };
 
-/// @brief Calls to the platform's store. Each call is answered once by a `store_answer` event.
+/// @brief Calls to the platform's store. Exactly one `store_answer` event answers each call.
 class store_port {
   public:
     store_port() = default;
@@ -182,7 +182,7 @@
     virtual void call(const store_request& request) = 0;
 };
 
-/// @brief Messages to other VMs.
+/// @brief Sends messages to other VMs.
 class peer_port {
   public:
     peer_port() = default;
--- a/include/jackdawvane/node/store.hpp
+++ b/include/jackdawvane/node/store.hpp
@@ -17,17 +17,17 @@
 
 namespace jackdawvane {
 
-/// @brief Operations of the platform's service.
+/// @brief Operations of the platform's store service.
 enum class store_operation {
     read,             ///< Value and version of a key.
-    watch,            ///< As `read`, answered once the version is past `version` or after `wait`.
-    compare_and_swap, ///< Write if the version is still `version`; 0 creates the key.
+    watch,            ///< As `read`, answered when the version is past `version` or after `wait`.
+    compare_and_swap, ///< Write if the current version is `version`; 0 creates the key.
     renew_lease,      ///< Create or renew the lease `key` for `lease` time with `value`.
     release_lease,    ///< End the lease `key`.
-    list_vms,         ///< The VM list, answered once its version is past `version`.
+    list_vms,         ///< The VM list, answered when its version is past `version`.
     acquire_lease,    ///< Create the lease `key` with `value` unless it exists.
     keep_lease,       ///< Renew the lease `key`; `not_found` when it has ended.
-    list_backends,    ///< Backend servers that have registered themselves.
+    list_backends,    ///< The registered backend servers.
 };
 
 template <>
@@ -50,8 +50,8 @@
     store_operation operation{store_operation::read};
     std::string key;
     std::string value;
-    std::uint64_t version{0}; ///< Expected or last seen version; 0 means absent or unseen.
-    duration wait{0};         ///< `watch`, `list_vms`: longest time to hold the answer.
+    std::uint64_t version{0}; ///< Expected or last known version; 0 if absent or unknown.
+    duration wait{0};         ///< `watch`, `list_vms`: maximum time to hold the answer.
     duration lease{0};        ///< `renew_lease`, `acquire_lease`: duration of the lease.
 
     static constexpr auto fields() {
@@ -77,7 +77,7 @@
 /// @brief Entry of the platform's VM list.
 struct vm_entry {
     vm_id vm;
-    endpoint peer;   ///< Address for messages of other VMs.
+    endpoint peer;   ///< Address for messages from other VMs.
     endpoint caller; ///< Address for callers and operators.
     location place;
     vm_state state{vm_state::live};
@@ -90,16 +90,16 @@
     friend bool operator==(const vm_entry&, const vm_entry&) = default;
 };
 
-/// @brief What a backend server says of itself in the platform's registry.
+/// @brief Entry that a backend server registers for itself in the platform's registry.
 struct backend_registration {
     backend_server_id backend;
     group_id group;
     jackdawvane::endpoint endpoint;
     failure_domain_id domain;
-    std::uint32_t slots{1}; ///< Statements that it runs at once.
-    bool leaving{false};    ///< Serves on for a while, then exits.
+    std::uint32_t slots{1}; ///< Maximum number of concurrent statements.
+    bool leaving{false};    ///< Shutting down; still serves until it exits.
     backend_role role{backend_role::replica};
-    duration warm_up_left{0};       ///< It is slow for this much longer.
+    duration warm_up_left{0};       ///< Remaining time for which it is slow.
     std::uint64_t started_at_ms{0}; ///< Unix time of its start; a restart keeps the id.
 
     static constexpr auto fields() {
@@ -117,7 +117,7 @@
     friend bool operator==(const backend_registration&, const backend_registration&) = default;
 };
 
-/// @brief How a store call ended.
+/// @brief Result of a store call.
 enum class store_status {
     ok,
     conflict, ///< The version did not match; nothing was written.
@@ -138,10 +138,10 @@
 struct store_answer {
     request_id id;
     store_status status{store_status::unavailable};
-    std::string value;                            ///< Present value; empty when the key is absent.
-    std::uint64_t version{0};                     ///< Present version of the key or list.
-    std::vector<vm_entry> vms;                    ///< `list_vms`: the whole list.
-    std::vector<backend_registration> backends{}; ///< `list_backends`: the whole list.
+    std::string value;                            ///< Current value; empty when the key is absent.
+    std::uint64_t version{0};                     ///< Current version of the key or list.
+    std::vector<vm_entry> vms;                    ///< `list_vms`: the complete list.
+    std::vector<backend_registration> backends{}; ///< `list_backends`: the complete list.
 
     static constexpr auto fields() {
         return std::tuple{
--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -46,8 +46,8 @@
     return fleet;
 }
 
-/// Longest wait for the store to take back the shares of a VM that has no other work left; an
-/// outage must not hold a shutdown up, and shares of a gone VM are reclaimed.
+/// Maximum wait for the store to accept the returned shares of a VM that is otherwise drained. A
+/// store outage must not delay a shutdown, and the shares of a stopped VM are reclaimed anyway.
 constexpr duration share_return_timeout = std::chrono::seconds{3};
 
 configuration_replica_settings replica_settings(const node_settings& settings) {
@@ -76,15 +76,15 @@
     std::visit([&](const auto& body) { on(now, body, out); }, what);
     run_due(now, out);
     settle(now, out);
-    while (take_own_messages(first_new, out)) {
-        for (auto& message : std::exchange(own_messages_, {})) {
+    while (extract_self_messages(first_new, out)) {
+        for (auto& message : std::exchange(self_messages_, {})) {
             on(now, message, out);
         }
         settle(now, out);
     }
 }
 
-bool node_impl::take_own_messages(std::size_t first, actions& out) {
+bool node_impl::extract_self_messages(std::size_t first, actions& out) {
     const auto is_own = [this](const action& entry) {
         const auto* sent = std::get_if<send_to_peer>(&entry);
         return sent != nullptr && sent->vm == settings_.self.vm;
@@ -92,11 +92,11 @@
     const auto begin = out.begin() + static_cast<std::ptrdiff_t>(first);
     const auto own = std::stable_partition(begin, out.end(), std::not_fn(is_own));
     for (auto it = own; it != out.end(); ++it) {
-        own_messages_.push_back(peer_received{settings_.self.vm, settings_.incarnation,
-                                              std::move(std::get<send_to_peer>(*it).message)});
+        self_messages_.push_back(peer_received{settings_.self.vm, settings_.incarnation,
+                                               std::move(std::get<send_to_peer>(*it).message)});
     }
     out.erase(own, out.end());
-    return !own_messages_.empty();
+    return !self_messages_.empty();
 }
 
 void node_impl::check_pause(time_point now, actions& out) {
@@ -104,7 +104,7 @@
         return;
     }
     log(out, "node", log_level::warning,
-        "this VM was paused; leases, shares and confirmations are checked again");
+        "this VM was paused; rechecking leases, shares and confirmations");
     limiter_.paused(now, out);
     owned_.paused(now, out);
 }
@@ -187,8 +187,8 @@
 }
 
 void node_impl::announce_primaries(time_point now, actions& out) {
-    // Without this, an entry VM that owns no backend server of the group keeps sending writes to
-    // a cut-off primary, where they wait for their deadline.
+    // Otherwise an entry VM that owns no backend server of the group would keep sending writes to
+    // an isolated primary, where they would wait until their deadline.
     for (const auto& summary : owned_.own_primaries(now)) {
         auto& announced = announced_[summary.group];
         if (summary.term <= announced) {
@@ -212,7 +212,7 @@
 }
 
 bool node_impl::deliver_local(time_point now, actions& out) {
-    auto requests = std::exchange(local_, {});
+    auto requests = std::exchange(local_requests_, {});
     for (auto& request : requests) {
         owned_.submit(now, std::move(request), out);
     }
@@ -254,7 +254,7 @@
     stopped_ = true;
     leave_deadline_ = no_deadline;
     log(out, "node", drained ? log_level::info : log_level::warning,
-        drained ? "left with no work in hand" : "left with work in hand after the drain timeout");
+        drained ? "left with no pending work" : "left with pending work after the drain timeout");
     out.emplace_back(stopped{});
 }
 
--- a/src/core/node/node_events.cpp
+++ b/src/core/node/node_events.cpp
@@ -33,7 +33,7 @@
         limiter_.on_store(now, answer, out)) {
         return;
     }
-    log(out, "store", log_level::debug, "answer to a call that was given up");
+    log(out, "store", log_level::debug, "ignored an answer to an abandoned call");
 }
 
 void node_impl::on(time_point now, const peer_received& received, actions& out) {
@@ -146,7 +146,7 @@
         return std::nullopt;
     }
     if (vm->vm == settings_.self.vm) {
-        local_.push_back({request, vm->vm, now + request.remaining, now});
+        local_requests_.push_back({request, vm->vm, now + request.remaining, now});
     } else {
         send(*vm, request, out);
     }
--- a/src/core/node/node_impl.hpp
+++ b/src/core/node/node_impl.hpp
@@ -18,7 +18,7 @@
 
 namespace jackdawvane::detail {
 
-/// @brief All parts of the library joined to one entry VM.
+/// @brief Combines all components of the library into one entry VM.
 class node_impl final : public node_interface, private request_services {
   public:
     explicit node_impl(const node_settings& settings);
@@ -61,15 +61,16 @@
     template <class Message>
     void receive(time_point now, const peer_received& from, const Message& message, actions& out);
 
-    /// Moves messages from this VM to itself out of the actions from @a first on.
+    /// Moves the messages that this VM sends to itself from the actions at @a first and later to
+    /// `self_messages_`.
     /// @return whether there were any
-    bool take_own_messages(std::size_t first, actions& out);
+    bool extract_self_messages(std::size_t first, actions& out);
     void check_pause(time_point now, actions& out);
     void run_due(time_point now, actions& out);
     void settle(time_point now, actions& out);
     void follow_fleet(time_point now, actions& out);
     void follow_configuration(time_point now, actions& out);
-    /// Tells all VMs about primaries that this VM owns and that are new.
+    /// Sends the summary of each new primary that this VM owns to all other VMs.
     void announce_primaries(time_point now, actions& out);
     bool deliver_local(time_point now, actions& out);
     bool deliver_replies(time_point now, actions& out);
@@ -108,10 +109,10 @@
     owned_backends owned_;
     request_executor executor_;
     std::map<group_id, group_summary> groups_; ///< Last known primary of each group.
-    std::map<group_id, term> announced_;       ///< Terms whose primary was announced from here.
-    std::deque<owner_request> local_;          ///< Requests for backend servers owned here.
-    std::vector<peer_received> own_messages_;  ///< Messages between parts of this VM.
-    std::vector<vm_entry> fleet_;              ///< Live VMs at the last change.
+    std::map<group_id, term> announced_;       ///< Highest announced term of each group.
+    std::deque<owner_request> local_requests_; ///< Requests for backend servers owned by this VM.
+    std::vector<peer_received> self_messages_; ///< Messages from this VM to itself.
+    std::vector<vm_entry> fleet_;              ///< Live VMs as of `fleet_version_`.
     std::uint64_t fleet_version_{0};
     revision applied_revision_;
     time_point now_;
--- a/tests/support/fake_backend.hpp
+++ b/tests/support/fake_backend.hpp
@@ -11,10 +11,10 @@
 
 namespace jackdawvane::test_support {
 
-/// @brief One backend server in memory. It answers when the test asks it to.
+/// @brief In-memory backend server. It answers only when the test calls `answer`.
 class fake_backend {
   public:
-    /// @brief Takes the backend actions out of @a out.
+    /// @brief Applies the backend actions in @a out; ignores all other actions.
     void take(const actions& out) {
         for (const auto& entry : out) {
             if (const auto* opened = std::get_if<open_connection>(&entry)) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// @brief Answer to @a request; changes the state as the request asks.
+    /// @brief Executes @a request on the state of the server and returns the answer.
     backend_answer answer(const backend_request& request) {
         backend_answer reply;
         reply.id = request.id;
@@ -69,7 +69,7 @@
     std::vector<connection_id> opening;
     std::set<connection_id> open;
     std::deque<send_to_backend> received;
-    std::map<std::string, int> executed; ///< Runs per request name.
+    std::map<std::string, int> executed; ///< Number of executions per request name.
 };
 
 } // namespace jackdawvane::test_support
--- a/tests/support/memory_ports.hpp
+++ b/tests/support/memory_ports.hpp
@@ -10,15 +10,15 @@
 #include <set>
 
 /// @file
-/// @brief Ports in memory for tests of the core. Events wait in a queue until `deliver`, because
-/// a port reports nothing from within its calls.
+/// @brief In-memory ports for tests of the core. Events are queued until `deliver` is called,
+/// because a port must not report events from within its calls.
 
 namespace jackdawvane::test_support {
 
-/// @brief What the other side of a port does.
+/// @brief Behaviour of the remote side of a port.
 enum class behaviour {
     answer,            ///< Answers each request.
-    refuse_connection, ///< Nothing listens.
+    refuse_connection, ///< Refuses the connection.
     refuse_handshake,  ///< Answers the handshake with an error.
     ignore_handshake,  ///< Never answers the handshake.
     close_before_answer,
@@ -28,7 +28,7 @@
     never_answer,
 };
 
-/// @brief Queue of events that a port in memory reports later.
+/// @brief Queue of events that an in-memory port reports later.
 class event_queue {
   public:
     explicit event_queue(std::function<void(event&&)> sink) : sink_{std::move(sink)} {}
@@ -47,7 +47,7 @@
     std::deque<event> waiting_;
 };
 
-/// @brief Connections to backend servers in memory.
+/// @brief In-memory connections to backend servers.
 class memory_backend_port final : public backend_port {
   public:
     memory_backend_port(std::function<void(event&&)> sink, behaviour server)
@@ -69,7 +69,7 @@
         if (found == open_.end()) {
             return;
         }
-        if (found->second || breaks()) {
+        if (found->second || breaks_connection()) {
             drop(request.connection);
         } else if (server_ == behaviour::answer) {
             backend_answer answer;
@@ -81,7 +81,7 @@
     }
     void close(const close_connection& request) override { open_.erase(request.connection); }
 
-    /// @brief Closes every connection from the server's side.
+    /// @brief Closes all connections from the server's side.
     void close_from_server() {
         while (!open_.empty()) {
             drop(open_.begin()->first);
@@ -90,7 +90,7 @@
     void deliver() { queue_.deliver(); }
 
   private:
-    [[nodiscard]] bool breaks() const {
+    [[nodiscard]] bool breaks_connection() const {
         return server_ == behaviour::close_before_answer ||
                server_ == behaviour::malformed_answer || server_ == behaviour::oversized_answer;
     }
@@ -101,10 +101,10 @@
 
     event_queue queue_;
     behaviour server_;
-    std::map<connection_id, bool> open_; ///< Whether a request waits for its answer.
+    std::map<connection_id, bool> open_; ///< Whether a request is in flight.
 };
 
-/// @brief Store in memory that answers or fails every call.
+/// @brief In-memory store that answers or fails every call.
 class memory_store_port final : public store_port {
   public:
     memory_store_port(std::function<void(event&&)> sink, behaviour server)
@@ -126,7 +126,7 @@
     behaviour server_;
 };
 
-/// @brief Messages between VMs in memory.
+/// @brief In-memory transport of messages between VMs.
 class memory_peer_port final : public peer_port {
   public:
     /// @brief Ports by the endpoint that they listen on.
