--- a/include/jackdawvane/failover/fencing_policy.hpp
+++ b/include/jackdawvane/failover/fencing_policy.hpp
@@ -19,7 +19,7 @@
     fencing_policy& operator=(fencing_policy&&) = delete;
     virtual ~fencing_policy() = default;
 
-    /// @brief Why a write must not start now.
+    /// @brief Checks whether a write may start now.
     /// @param remaining time until the write's deadline
     /// @return an error with a retry delay, or nothing when the write may start
     [[nodiscard]] virtual std::optional<error> refuse_write(const group_view& view, time_point now,
@@ -43,8 +43,8 @@
 
 /// @brief Acknowledges on the primary's answer alone; a failover may lose the write.
 ///
-/// A primary whose term is not confirmed is refused here too, which limits the loss to the
-/// writes of one confirmation limit.
+/// Writes to a primary whose term is not confirmed are refused, so that a failover loses at most
+/// the writes of one confirmation limit.
 class primary_alone_fencing final : public fencing_policy {
   public:
     [[nodiscard]] std::optional<error> refuse_write(const group_view& view, time_point now,
@@ -53,7 +53,7 @@
                                     log_position position) const override;
 };
 
-/// @brief Acknowledges while a lease in the platform's store lasts; used for comparison only.
+/// @brief Acknowledges while a lease in the platform's store is held; used for comparison only.
 class store_lease_fencing final : public fencing_policy {
   public:
     /// @brief The store granted or extended the lease.
@@ -70,7 +70,7 @@
     bool held_{false};
 };
 
-/// @brief Policy of a route with the fencing mode @a mode; lives as long as the program.
+/// @brief Returns the policy for @a mode, an object with static storage duration.
 [[nodiscard]] const fencing_policy& fencing_policy_for(fencing_mode mode);
 
 } // namespace jackdawvane
--- a/include/jackdawvane/failover/group_view.hpp
+++ b/include/jackdawvane/failover/group_view.hpp
@@ -16,43 +16,43 @@
 
 /// @brief Whether @a status is that of an acting primary.
 ///
-/// A promoted primary writes an entry of its term at once. One that has accepted a later term
-/// since is not the primary any more, whatever role it reports.
+/// A promoted primary writes an entry of its term immediately. After accepting a later term it is
+/// no longer the primary, whatever role it reports.
 [[nodiscard]] bool acts_as_primary(const backend_status& status) noexcept;
 
-/// @brief What one VM knows about one database group.
+/// @brief State of one database group as known to one VM.
 ///
-/// All times are on the clock of this VM. The time of a status is when its query was sent, or
-/// an earlier one, so that no age is ever taken too low.
+/// All times are on the clock of this VM. A status is dated to the time at which its query was
+/// sent, or earlier, so that its age is never underestimated.
 class group_view {
   public:
-    /// A majority that was heard longer ago confirms nothing.
+    /// Maximum age of a majority's statuses that confirm a term.
     static constexpr duration confirmation_limit = std::chrono::seconds{1};
 
     explicit group_view(group_id group);
 
-    /// @brief Sets the backend servers of the group; forgets those that are not listed.
-    void configure(const std::set<backend_server_id>& members);
+    /// @brief Sets the backend servers of the group; discards the state of those not listed.
+    void configure(const std::set<backend_server_id>& servers);
 
-    /// @brief Takes in a report.
+    /// @brief Applies a report.
     ///
-    /// Reports that are older than what is known, such as repeated ones, do not change the
-    /// status. An unreachable backend server keeps its last status.
-    /// @param measured time before the status was asked; nothing when that cannot be proved
+    /// Reports that are older than the known status, such as late duplicates, do not change it. An
+    /// unreachable backend server keeps its last status.
+    /// @param as_of time before the status was requested; nothing when that cannot be proved
     /// @return whether term, role or reachability of the backend server changed
-    bool observe(time_point now, const backend_report& report, std::optional<time_point> measured);
+    bool observe(time_point now, const backend_report& report, std::optional<time_point> as_of);
 
-    /// @brief Takes in that @a primary was promoted in @a elected. Lower terms change nothing.
-    /// @return whether it was news
+    /// @brief Records that @a primary was promoted in the term @a elected; lower terms are ignored.
+    /// @return whether the term was new
     bool learn_primary(term elected, const backend_server_id& primary);
 
-    /// @brief Takes in that a backend server has accepted the term @a accepted.
+    /// @brief Records that a backend server has accepted the term @a accepted.
     void learn_term(term accepted);
 
-    /// @brief A writer waits until a majority has @a position; starts measuring the lag.
-    void expect(time_point now, log_position position);
+    /// @brief Starts measuring the replication lag for @a position, for which a writer waits.
+    void await_position(time_point now, log_position position);
 
-    /// @brief This VM was paused; confirmations from before do not count any more.
+    /// @brief Discards all confirmations, because this VM was paused.
     void forget_confirmations();
 
     /// @brief Whether a majority reported the primary's term within the confirmation limit.
@@ -66,8 +66,8 @@
 
     /// @brief Upper bound of the age of the data of @a backend.
     ///
-    /// Runs from the last time at which its log is proved to have held all that the primary had,
-    /// and at which a majority is proved to have had no later primary.
+    /// Counted from the earlier of two times: the last at which its log provably held all entries
+    /// of the primary, and the last at which a majority provably had no later primary.
     /// @return nothing when there is no proof
     [[nodiscard]] std::optional<duration> staleness(time_point now,
                                                     const backend_server_id& backend) const;
@@ -88,43 +88,43 @@
     /// @brief Whether the last report of @a backend said that it is reachable.
     [[nodiscard]] bool reachable(const backend_server_id& backend) const;
     /// @brief When the last report of @a backend arrived.
-    [[nodiscard]] std::optional<time_point> heard(const backend_server_id& backend) const;
+    [[nodiscard]] std::optional<time_point> last_report_at(const backend_server_id& backend) const;
     /// @brief Number of backend servers that make a majority.
-    [[nodiscard]] std::size_t majority() const noexcept { return members_.size() / 2 + 1; }
+    [[nodiscard]] std::size_t majority() const noexcept { return servers_.size() / 2 + 1; }
 
   private:
-    struct member {
+    struct server_state {
         bool reachable{false};
         std::optional<backend_status> status;
-        std::optional<time_point> heard;
-        std::optional<time_point> measured;
-        std::optional<time_point> complete; ///< Its log held all that the primary had then.
+        std::optional<time_point> last_report_at;
+        std::optional<time_point> as_of;
+        std::optional<time_point> caught_up_at; ///< Last time that its log was complete.
     };
     /// Position that the primary had reached at a time.
-    struct mark {
-        time_point measured;
+    struct primary_position {
+        time_point as_of;
         log_position position;
     };
     /// Position that a writer waits for.
-    struct expectation {
+    struct awaited_position {
         time_point since;
         log_position position;
     };
 
-    void mark_primary(time_point measured, log_position position);
-    void mark_complete();
-    void confirm();
-    void meet_expectations(time_point now);
-    [[nodiscard]] bool on_branch(const member& known) const;
+    void record_primary_position(time_point as_of, log_position position);
+    void update_caught_up_times();
+    void update_confirmation();
+    void complete_awaited_positions(time_point now);
+    [[nodiscard]] bool has_entry_of_known_term(const server_state& known) const;
 
     group_id group_;
-    std::map<backend_server_id, member> members_;
+    std::map<backend_server_id, server_state> servers_;
     term known_term_;
     backend_server_id primary_;
     term highest_term_;
     std::optional<time_point> confirmed_at_;
-    std::deque<mark> marks_;               ///< Rising in time and position.
-    std::deque<expectation> expectations_; ///< Rising in time and position.
+    std::deque<primary_position> primary_positions_; ///< Ascending in time and position.
+    std::deque<awaited_position> awaited_positions_; ///< Ascending in time and position.
     duration last_lag_{0};
     time_point last_lag_at_;
 };
--- a/src/core/backends/backend_owner.cpp
+++ b/src/core/backends/backend_owner.cpp
@@ -182,7 +182,7 @@
         return;
     }
     if (!job.request.session.empty()) {
-        monitor_.want_position(now, job.request.session.front().position, out);
+        monitor_.await_position(now, job.request.session.front().position, out);
     }
     waiting_reads_.push_back({std::move(job), give_up});
 }
--- a/src/core/backends/backend_owner_completion.cpp
+++ b/src/core/backends/backend_owner_completion.cpp
@@ -151,7 +151,7 @@
                       error{error_kind::commit_unconfirmed, "the primary was replaced", {}});
         return;
     }
-    monitor_.want_position(now, answer.written, out);
+    monitor_.await_position(now, answer.written, out);
     waiting_writes_.push_back({std::move(job), answer});
 }
 
--- a/src/core/failover/fencing_policy.cpp
+++ b/src/core/failover/fencing_policy.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// A failover takes about half a second; callers come back while or right after it ends.
-constexpr duration failover_retry = std::chrono::milliseconds{250};
+/// A failover takes about 500 ms, so a retry arrives during it or shortly after its end.
+constexpr duration failover_retry_delay = std::chrono::milliseconds{250};
 
 std::optional<error> refuse_without_primary(const group_view& view) {
     if (!view.primary().empty()) {
         return std::nullopt;
     }
     return error{error_kind::no_primary, "group " + view.group().str() + " has no known primary",
-                 failover_retry};
+                 failover_retry_delay};
 }
 
 std::optional<error> refuse_unconfirmed(const group_view& view, time_point now) {
@@ -27,7 +27,7 @@
     return error{error_kind::term_unconfirmed,
                  "no majority of group " + view.group().str() + " confirmed term " +
                      std::to_string(view.known_term().value()) + " within 1 s",
-                 failover_retry};
+                 failover_retry_delay};
 }
 
 } // namespace
@@ -67,7 +67,8 @@
                                                        duration /*remaining*/) const {
     if (!held_) {
         return error{error_kind::store_unavailable,
-                     "the lease of group " + view.group().str() + " has expired", failover_retry};
+                     "the lease of group " + view.group().str() + " has expired",
+                     failover_retry_delay};
     }
     return refuse_without_primary(view);
 }
--- a/src/core/failover/group_monitor.cpp
+++ b/src/core/failover/group_monitor.cpp
@@ -22,7 +22,7 @@
     return call ? call->next_deadline() : no_deadline;
 }
 
-void drop(std::optional<backend_call>& call, actions& out) {
+void close_and_reset(std::optional<backend_call>& call, actions& out) {
     if (call) {
         call->close(out);
         call.reset();
@@ -44,25 +44,25 @@
 void group_monitor::configure(const group_row& group,
                               const std::map<backend_server_id, vm_entry>& owners) {
     group_ = group;
-    std::set<backend_server_id> members;
+    std::set<backend_server_id> servers;
     for (const auto& [backend, row] : group.backend_servers) {
-        members.insert(backend);
+        servers.insert(backend);
     }
-    view_.configure(members);
+    view_.configure(servers);
     exchange_.configure(owners);
 }
 
 void group_monitor::start(time_point now, actions& out) {
     running_ = true;
-    quiet_since_ = now;
+    silence_start_ = now;
     start_probe(now, out);
-    react(now, out);
+    advance(now, out);
 }
 
 void group_monitor::stop(actions& out) {
     running_ = false;
     for (auto* call : {&poll_, &probe_, &follow_, &primary_probe_}) {
-        drop(*call, out);
+        close_and_reset(*call, out);
     }
     if (promotion_) {
         promotion_->stop(out);
@@ -86,7 +86,7 @@
         taken = taken || (*call && (*call)->on_disconnected(connection, reason));
     }
     if (taken) {
-        react(now, out);
+        advance(now, out);
     }
     return taken;
 }
@@ -98,7 +98,7 @@
         taken = taken || (*call && (*call)->on_answer(connection, answer, out));
     }
     if (taken) {
-        react(now, out);
+        advance(now, out);
     }
     return taken;
 }
@@ -107,24 +107,24 @@
     if (report.group != watched_.group) {
         return;
     }
-    const auto measured = exchange_.receive(now, report);
+    const auto as_of = exchange_.receive(now, report);
     if (report.report.backend != watched_.backend) {
-        view_.observe(now, report.report, measured);
+        view_.observe(now, report.report, as_of);
     }
     view_.learn_primary(report.known_term, report.primary);
-    react(now, out);
+    advance(now, out);
 }
 
-void group_monitor::on_status(time_point now, const backend_status& status, time_point asked,
+void group_monitor::on_status(time_point now, const backend_status& status, time_point requested_at,
                               actions& out) {
-    take_status(now, status, asked);
-    react(now, out);
+    apply_status(now, status, requested_at);
+    advance(now, out);
 }
 
-void group_monitor::want_position(time_point now, log_position position, actions& out) {
-    view_.expect(now, position);
-    exchange_.want(position);
-    react(now, out);
+void group_monitor::await_position(time_point now, log_position position, actions& out) {
+    view_.await_position(now, position);
+    exchange_.await_position(position);
+    advance(now, out);
 }
 
 void group_monitor::suspect(time_point now, actions& out) {
@@ -141,12 +141,12 @@
     }
     stop(out);
     running_ = true;
-    quiet_since_ = now;
-    told_lost_since_.reset();
-    lost_primary_at_.reset();
-    unled_since_.reset();
+    silence_start_ = now;
+    reported_unreachable_since_.reset();
+    own_primary_lost_at_.reset();
+    leaderless_since_.reset();
     start_probe(now, out);
-    react(now, out);
+    advance(now, out);
 }
 
 void group_monitor::tick(time_point now, actions& out) {
@@ -158,7 +158,7 @@
     if (promotion_) {
         promotion_->tick(now, out);
     }
-    react(now, out);
+    advance(now, out);
 }
 
 time_point group_monitor::next_deadline() const {
@@ -179,16 +179,16 @@
     return *std::min_element(deadlines.begin(), deadlines.end());
 }
 
-void group_monitor::react(time_point now, actions& out) {
+void group_monitor::advance(time_point now, actions& out) {
     if (!running_) {
         return;
     }
-    review_poll(now, out);
-    review_probe(now, out);
-    review_follow(now, out);
-    review_primary_probe(now, out);
-    review_promotion(now);
-    note_view_changes(now, out);
+    handle_poll_result(now, out);
+    handle_probe_result(now, out);
+    handle_follow_result(now, out);
+    handle_primary_probe_result(now, out);
+    handle_promotion_result(now);
+    track_view_changes(now, out);
     if (now >= probe_due_) {
         start_probe(now, out);
     }
@@ -196,62 +196,64 @@
         start_follow(now, out);
     }
     start_election(now, out);
-    exchange_.send_due(now, view_, measured_, out);
+    exchange_.send_due(now, view_, status_requested_at_, out);
 }
 
-void group_monitor::review_poll(time_point now, actions& out) {
+void group_monitor::handle_poll_result(time_point now, actions& out) {
     if (!is_finished(poll_)) {
         return;
     }
     if (poll_->state() == call_state::answered) {
-        take_status(now, poll_->answer().status, poll_->asked_at());
-        poll_again(now, out);
+        apply_status(now, poll_->answer().status, poll_->asked_at());
+        send_poll(now, out);
         return;
     }
     log(out, log_part, log_level::info,
-        watched_.backend.str() + " status connection: " + poll_->reason() + "; probing");
+        watched_.backend.str() + " status poll failed: " + poll_->reason() +
+            "; probing on a new connection");
     poll_.reset();
     if (!probe_) {
         start_probe(now, out);
     }
 }
 
-void group_monitor::review_probe(time_point now, actions& out) {
+void group_monitor::handle_probe_result(time_point now, actions& out) {
     if (!is_finished(probe_)) {
         return;
     }
     auto finished = std::move(*probe_);
     probe_.reset();
-    drop(poll_, out);
+    close_and_reset(poll_, out);
     if (finished.state() != call_state::answered) {
-        take_unreachable(now, finished.reason(), out);
+        mark_unreachable(now, finished.reason(), out);
         probe_due_ = now + settings_.reconnect;
         return;
     }
-    take_status(now, finished.answer().status, finished.asked_at());
+    apply_status(now, finished.answer().status, finished.asked_at());
     poll_.emplace(std::move(finished));
-    poll_again(now, out);
+    send_poll(now, out);
 }
 
-void group_monitor::review_follow(time_point now, actions& out) {
+void group_monitor::handle_follow_result(time_point now, actions& out) {
     if (!is_finished(follow_)) {
         return;
     }
     if (follow_->state() == call_state::answered) {
-        take_status(now, follow_->answer().status, follow_->asked_at());
+        apply_status(now, follow_->answer().status, follow_->asked_at());
     }
-    drop(follow_, out);
+    close_and_reset(follow_, out);
 }
 
-void group_monitor::review_primary_probe(time_point now, actions& out) {
+void group_monitor::handle_primary_probe_result(time_point now, actions& out) {
     if (!is_finished(primary_probe_)) {
         return;
     }
     const auto finished = *primary_probe_;
-    drop(primary_probe_, out);
+    close_and_reset(primary_probe_, out);
     const auto& primary = finished.backend();
-    const auto heard = view_.heard(primary).value_or(time_point::min());
-    if (primary != view_.primary() || (heard > finished.asked_at() && view_.reachable(primary))) {
+    const auto last_report_at = view_.last_report_at(primary).value_or(time_point::min());
+    if (primary != view_.primary() ||
+        (last_report_at > finished.asked_at() && view_.reachable(primary))) {
         return;
     }
     if (finished.state() != call_state::answered) {
@@ -260,14 +262,14 @@
     }
     const auto& status = finished.answer().status;
     view_.observe(now, {primary, true, status, duration{0}}, finished.asked_at());
-    quiet_since_ = now;
-    told_lost_since_.reset();
+    silence_start_ = now;
+    reported_unreachable_since_.reset();
     if (status.role != backend_role::primary && status.accepted_term <= view_.known_term()) {
-        start_promotion(now, primary.str() + " is not the primary any more", out);
+        start_promotion(now, primary.str() + " is no longer the primary", out);
     }
 }
 
-void group_monitor::review_promotion(time_point now) {
+void group_monitor::handle_promotion_result(time_point now) {
     if (!promotion_ || promotion_->state() == promotion::progress::running) {
         return;
     }
@@ -284,30 +286,32 @@
     }
     std::uniform_int_distribution<duration::rep> wait{settings_.backoff_min.count(),
                                                       settings_.backoff_max.count()};
-    election_after_ = now + duration{wait(random_)};
-    quiet_since_ = now;
-    if (told_lost_since_) {
-        told_lost_since_ = now;
+    next_election_at_ = now + duration{wait(random_)};
+    silence_start_ = now;
+    if (reported_unreachable_since_) {
+        reported_unreachable_since_ = now;
     }
 }
 
-void group_monitor::poll_again(time_point now, actions& out) {
+void group_monitor::send_poll(time_point now, actions& out) {
     backend_request request;
     request.after = poll_->answer().status.position;
     request.wait = settings_.status_wait;
-    const auto limit = settings_.status_wait + settings_.answer_limit + allowance(watched_.backend);
+    const auto limit =
+        settings_.status_wait + settings_.answer_limit + network_allowance(watched_.backend);
     poll_->send(now, std::move(request), limit, out);
 }
 
 void group_monitor::start_probe(time_point now, actions& out) {
     probe_due_ = no_deadline;
     probe_.emplace(call_to(watched_.backend));
-    probe_->send(now, backend_request{}, settings_.answer_limit + allowance(watched_.backend), out);
+    probe_->send(now, backend_request{},
+                 settings_.answer_limit + network_allowance(watched_.backend), out);
 }
 
 void group_monitor::start_follow(time_point now, actions& out) {
     const auto primary = group_.backend_servers.find(view_.primary());
-    follow_after_ = now + settings_.follow_interval;
+    next_follow_at_ = now + settings_.follow_interval;
     if (primary == group_.backend_servers.end()) {
         return;
     }
@@ -316,10 +320,10 @@
     request.expected_term = view_.known_term();
     request.primary = primary->second.endpoint;
     follow_.emplace(call_to(watched_.backend));
-    follow_->send(now, std::move(request), settings_.answer_limit + allowance(watched_.backend),
-                  out);
+    follow_->send(now, std::move(request),
+                  settings_.answer_limit + network_allowance(watched_.backend), out);
     log(out, log_part, log_level::info,
-        watched_.backend.str() + " told to follow " + view_.primary().str() + " in term " +
+        watched_.backend.str() + " is asked to follow " + view_.primary().str() + " in term " +
             text_of(view_.known_term()));
 }
 
@@ -337,7 +341,7 @@
             view_.primary().str());
     primary_probe_.emplace(call_to(view_.primary()));
     primary_probe_->send(now, backend_request{},
-                         settings_.answer_limit + allowance(view_.primary()), out);
+                         settings_.answer_limit + network_allowance(view_.primary()), out);
 }
 
 void group_monitor::start_promotion(time_point now, const std::string& reason, actions& out) {
@@ -346,81 +350,83 @@
         return;
     }
     last_proposed_ = highest.next();
-    // The random part keeps two lives of one VM apart.
+    // The random part distinguishes two incarnations of one VM.
     const vm_id candidate{watched_.self.str() + "/" + watched_.backend.str() + "/" +
                           std::to_string(random_())};
     log(out, log_part, log_level::warning,
-        "group " + watched_.group.str() + ": " + reason + "; promoting for term " +
+        "group " + watched_.group.str() + ": " + reason + "; starting a promotion for term " +
             text_of(last_proposed_) + " or later");
     promotion_.emplace(promotion_proposal{watched_.group, last_proposed_,
                                           group_.backend_servers.size(), candidate},
-                       promotion_members(lost_primary_at_ || !handover_possible()), ids_,
+                       promotion_servers(own_primary_lost_at_ || !handover_possible()), ids_,
                        settings_.promotion);
     promotion_->start(now, out);
 }
 
-void group_monitor::take_status(time_point now, const backend_status& status, time_point asked) {
-    if (view_.observe(now, {watched_.backend, true, status, duration{0}}, asked)) {
-        exchange_.announce();
+void group_monitor::apply_status(time_point now, const backend_status& status,
+                                 time_point requested_at) {
+    if (view_.observe(now, {watched_.backend, true, status, duration{0}}, requested_at)) {
+        exchange_.mark_urgent();
     }
-    measured_ = std::max(measured_, asked);
-    // Waiting for a first entry after an idle time is replication lag, not a missing follow.
-    if (status.position > follow_position_ || !is_behind_quietly()) {
-        progress_at_ = now;
+    status_requested_at_ = std::max(status_requested_at_, requested_at);
+    // Waiting for the first entry after an idle period is replication lag, not a missing `follow`.
+    if (status.position > last_own_position_ || !is_behind_primary()) {
+        last_progress_at_ = now;
     }
-    follow_position_ = status.position;
+    last_own_position_ = status.position;
     const bool lost_role = own_primary() && status.role != backend_role::primary &&
-                           status.accepted_term == view_.known_term() && asked > term_noted_at_ &&
-                           noted_term_ == view_.known_term();
+                           status.accepted_term == view_.known_term() &&
+                           requested_at > tracked_term_since_ &&
+                           tracked_term_ == view_.known_term();
     if (!lost_role) {
-        lost_primary_at_.reset();
-    } else if (!lost_primary_at_) {
-        lost_primary_at_ = now;
+        own_primary_lost_at_.reset();
+    } else if (!own_primary_lost_at_) {
+        own_primary_lost_at_ = now;
     }
 }
 
-void group_monitor::take_unreachable(time_point now, const std::string& reason, actions& out) {
+void group_monitor::mark_unreachable(time_point now, const std::string& reason, actions& out) {
     if (view_.observe(now, {watched_.backend, false, {}, duration{0}}, std::nullopt)) {
-        exchange_.announce();
+        exchange_.mark_urgent();
         log(out, log_part, log_level::warning,
             watched_.backend.str() + " is unreachable: " + reason);
     }
-    if (own_primary() && !lost_primary_at_) {
-        lost_primary_at_ = now;
+    if (own_primary() && !own_primary_lost_at_) {
+        own_primary_lost_at_ = now;
     }
 }
 
-void group_monitor::note_view_changes(time_point now, actions& out) {
-    if (view_.known_term() != noted_term_) {
-        note_term(now, out);
+void group_monitor::track_view_changes(time_point now, actions& out) {
+    if (view_.known_term() != tracked_term_) {
+        on_new_primary(now, out);
     }
     if (view_.highest_term() <= view_.known_term()) {
-        unled_since_.reset();
-    } else if (!unled_since_ || unled_term_ != view_.highest_term()) {
-        unled_since_ = now;
-        unled_term_ = view_.highest_term();
-    }
-    const bool told_lost =
-        !own_primary() && view_.heard(view_.primary()) && !view_.reachable(view_.primary());
-    if (!told_lost) {
-        told_lost_since_.reset();
-    } else if (!told_lost_since_) {
-        told_lost_since_ = now;
-    }
-}
-
-void group_monitor::note_term(time_point now, actions& out) {
-    noted_term_ = view_.known_term();
-    term_noted_at_ = now;
-    quiet_since_ = now;
-    lost_primary_at_.reset();
-    follow_after_ = now;
-    progress_at_ = now;
-    exchange_.forget_wanted();
-    exchange_.announce();
+        leaderless_since_.reset();
+    } else if (!leaderless_since_ || leaderless_term_ != view_.highest_term()) {
+        leaderless_since_ = now;
+        leaderless_term_ = view_.highest_term();
+    }
+    const bool reported_unreachable = !own_primary() && view_.last_report_at(view_.primary()) &&
+                                      !view_.reachable(view_.primary());
+    if (!reported_unreachable) {
+        reported_unreachable_since_.reset();
+    } else if (!reported_unreachable_since_) {
+        reported_unreachable_since_ = now;
+    }
+}
+
+void group_monitor::on_new_primary(time_point now, actions& out) {
+    tracked_term_ = view_.known_term();
+    tracked_term_since_ = now;
+    silence_start_ = now;
+    own_primary_lost_at_.reset();
+    next_follow_at_ = now;
+    last_progress_at_ = now;
+    exchange_.reset_awaited_positions();
+    exchange_.mark_urgent();
     log(out, log_part, log_level::info,
         "group " + watched_.group.str() + ": " + view_.primary().str() +
-            " is the primary of term " + text_of(noted_term_));
+            " is the primary of term " + text_of(tracked_term_));
 }
 
 time_point group_monitor::follow_due() const {
@@ -432,13 +438,14 @@
     }
     if (own->accepted_term < view_.known_term() || own->last_entry_term < view_.known_term() ||
         own->role == backend_role::primary) {
-        return follow_after_;
+        return next_follow_at_;
     }
-    return is_behind_quietly() ? std::max(follow_after_, progress_at_ + settings_.follow_interval)
-                               : no_deadline;
+    return is_behind_primary()
+               ? std::max(next_follow_at_, last_progress_at_ + settings_.follow_interval)
+               : no_deadline;
 }
 
-bool group_monitor::is_behind_quietly() const {
+bool group_monitor::is_behind_primary() const {
     const auto* own = view_.status(watched_.backend);
     const auto* primary = view_.status(view_.primary());
     return primary != nullptr && primary->last_entry_term == own->last_entry_term &&
--- a/src/core/failover/group_monitor_election.cpp
+++ b/src/core/failover/group_monitor_election.cpp
@@ -15,39 +15,40 @@
         return next;
     }
     if (view_.known_term() == term{}) {
-        next = {quiet_since_ + settings_.primary_silence + rank_wait(), false,
+        next = {silence_start_ + settings_.primary_silence + election_delay(), false,
                 "no primary is known"};
     } else {
         next = lost_primary_election();
     }
-    if (unled_since_) {
-        const auto due = *unled_since_ + settings_.primary_silence + rank_wait();
+    if (leaderless_since_) {
+        const auto due = *leaderless_since_ + settings_.primary_silence + election_delay();
         if (due < next.due) {
             next = {due, false, "a later term has no primary"};
         }
     }
     if (next.due != no_deadline) {
-        next.due = std::max(next.due, election_after_);
+        next.due = std::max(next.due, next_election_at_);
     }
     return next;
 }
 
 group_monitor::election group_monitor::lost_primary_election() const {
-    if (own_primary() && !lost_primary_at_ && handover_possible()) {
-        return {quiet_since_, false, "the primary is leaving"};
+    if (own_primary() && !own_primary_lost_at_ && handover_possible()) {
+        return {silence_start_, false, "the primary is leaving"};
     }
     if (own_primary()) {
-        return {lost_primary_at_.value_or(no_deadline), false, "the primary was lost"};
+        return {own_primary_lost_at_.value_or(no_deadline), false, "the primary was lost"};
     }
-    if (told_lost_since_) {
-        return {*told_lost_since_ + rank_wait(), true, "its owner reports the primary unreachable"};
+    if (reported_unreachable_since_) {
+        return {*reported_unreachable_since_ + election_delay(), true,
+                "the owner of the primary reports it unreachable"};
     }
-    // The owner of rank 0 is silent too. The probe lasts about as long as one rank's delay, so it
-    // takes the place of that delay instead of adding to it.
-    const auto heard = view_.heard(view_.primary()).value_or(quiet_since_);
-    return {std::max(heard, quiet_since_) + settings_.primary_silence + rank_wait() -
-                settings_.rank_delay,
-            true, "no report about the primary"};
+    // The owner of rank 0 is silent, too. The probe takes about one rank delay, so it replaces that
+    // delay instead of adding to it.
+    const auto last_report_at = view_.last_report_at(view_.primary()).value_or(silence_start_);
+    return {std::max(last_report_at, silence_start_) + settings_.primary_silence +
+                election_delay() - settings_.rank_delay,
+            true, "no report about the primary within the time limit"};
 }
 
 bool group_monitor::handover_possible() const {
@@ -62,11 +63,11 @@
            view_.committed(view_.known_term(), status->position);
 }
 
-duration group_monitor::rank_wait() const {
+duration group_monitor::election_delay() const {
     if (own_primary()) {
         return duration{0};
     }
-    // Rank 0 is kept for the primary's own owner while there is a primary.
+    // Rank 0 is reserved for the primary's owner while there is a primary.
     std::int64_t rank = view_.primary().empty() ? 0 : 1;
     const auto own_weight = rendezvous_weight(watched_.group.str(), watched_.backend.str());
     for (const auto& [backend, row] : group_.backend_servers) {
@@ -77,11 +78,11 @@
     return rank * settings_.rank_delay;
 }
 
-duration group_monitor::allowance(const backend_server_id& backend) const {
+duration group_monitor::network_allowance(const backend_server_id& backend) const {
     const auto found = group_.backend_servers.find(backend);
     const bool same_region = found != group_.backend_servers.end() &&
                              found->second.place.region == watched_.place.region;
-    return same_region ? settings_.region_allowance : settings_.far_allowance;
+    return same_region ? settings_.own_region_allowance : settings_.other_region_allowance;
 }
 
 backend_call group_monitor::call_to(const backend_server_id& backend) const {
@@ -91,16 +92,16 @@
     return {backend, endpoint, ids_};
 }
 
-std::vector<promotion_member> group_monitor::promotion_members(bool with_leaving) const {
-    std::vector<promotion_member> members;
+std::vector<promotion_server> group_monitor::promotion_servers(bool with_leaving) const {
+    std::vector<promotion_server> servers;
     for (const auto wanted : {backend_state::active, backend_state::leaving}) {
         for (const auto& [backend, row] : group_.backend_servers) {
             if (row.state == wanted && (with_leaving || wanted == backend_state::active)) {
-                members.push_back({backend, row.endpoint});
+                servers.push_back({backend, row.endpoint});
             }
         }
     }
-    return members;
+    return servers;
 }
 
 } // namespace jackdawvane
--- a/src/core/failover/report_exchange.cpp
+++ b/src/core/failover/report_exchange.cpp
@@ -25,7 +25,7 @@
 }
 
 std::optional<time_point> report_exchange::receive(time_point now, const group_report& report) {
-    wanted_elsewhere_ = std::max(wanted_elsewhere_, report.wanted);
+    awaited_by_others_ = std::max(awaited_by_others_, report.wanted);
     const auto found = links_.find(report.report.backend);
     if (found == links_.end() || report.receiver != own_) {
         return std::nullopt;
@@ -40,21 +40,21 @@
     return std::min(now, echoed + report.echo_age - report.report.age);
 }
 
-void report_exchange::want(log_position position) {
-    wanted_here_ = std::max(wanted_here_, position);
+void report_exchange::await_position(log_position position) {
+    awaited_here_ = std::max(awaited_here_, position);
 }
 
-void report_exchange::announce() {
+void report_exchange::mark_urgent() {
     for (auto& [backend, to] : links_) {
         to.urgent = true;
     }
 }
 
-void report_exchange::forget_wanted() {
-    wanted_here_ = log_position{};
-    wanted_elsewhere_ = log_position{};
+void report_exchange::reset_awaited_positions() {
+    awaited_here_ = log_position{};
+    awaited_by_others_ = log_position{};
     for (auto& [backend, to] : links_) {
-        to.sent_wanted = log_position{};
+        to.sent_awaited_position = log_position{};
         to.sent_position = log_position{};
     }
 }
@@ -65,20 +65,20 @@
     }
 }
 
-void report_exchange::send_due(time_point now, const group_view& view, time_point measured,
-                               actions& out) {
+void report_exchange::send_due(time_point now, const group_view& view,
+                               time_point status_requested_at, actions& out) {
     const auto position = own_position(view);
     for (auto& [backend, to] : links_) {
         if (due(to, position) > now) {
             continue;
         }
-        auto report = report_for(backend, to, now, view, measured);
+        auto report = report_for(backend, to, now, view, status_requested_at);
         out.emplace_back(
             send_to_peer{to.owner.vm, to.owner.peer, peer_channel::stream, std::move(report)});
         to.urgent = false;
         to.sent = now;
         to.sent_position = position;
-        to.sent_wanted = wanted_here_;
+        to.sent_awaited_position = awaited_here_;
     }
 }
 
@@ -91,17 +91,17 @@
     return next;
 }
 
-bool report_exchange::is_pressing(const link& to, log_position own_position) const {
-    const auto wanted = std::max(wanted_here_, wanted_elsewhere_);
+bool report_exchange::needs_early_report(const link& to, log_position own_position) const {
+    const auto wanted = std::max(awaited_here_, awaited_by_others_);
     const bool progress_awaited = own_position > to.sent_position && wanted > to.sent_position;
-    return to.urgent || progress_awaited || wanted_here_ > to.sent_wanted;
+    return to.urgent || progress_awaited || awaited_here_ > to.sent_awaited_position;
 }
 
 time_point report_exchange::due(const link& to, log_position own_position) const {
     if (!to.sent) {
         return time_point::min();
     }
-    if (!is_pressing(to, own_position)) {
+    if (!needs_early_report(to, own_position)) {
         return *to.sent + intervals_.regular;
     }
     const bool same_region = to.owner.place.region == self_.region;
@@ -115,20 +115,21 @@
 
 group_report report_exchange::report_for(const backend_server_id& receiver, const link& to,
                                          time_point now, const group_view& view,
-                                         time_point measured) const {
+                                         time_point status_requested_at) const {
     group_report made;
     made.group = group_;
     made.report.backend = own_;
     made.report.reachable = view.reachable(own_);
     if (const auto* status = view.status(own_)) {
         made.report.status = *status;
-        // Only the owner compares sessions with the history; reports are most of the idle traffic.
+        // Only the owner checks sessions against the history. It is left out to keep reports small,
+        // because they are most of the idle traffic.
         made.report.status.history.clear();
-        made.report.age = now - measured;
+        made.report.age = now - status_requested_at;
     }
     made.known_term = view.known_term();
     made.primary = view.primary();
-    made.wanted = wanted_here_;
+    made.wanted = awaited_here_;
     made.receiver = receiver;
     made.sent_at = now.time_since_epoch();
     if (to.echo != duration{0}) {
--- a/tests/core/fake_backend.hpp
+++ b/tests/core/fake_backend.hpp
@@ -21,7 +21,7 @@
 
     bool alive{true};
     bool frozen{false};
-    duration lag{0}; ///< Age of the entries that it has replicated.
+    duration lag{0}; ///< Minimum age of the entries that it replicates.
     std::vector<entry> log;
     endpoint following;
 
@@ -51,7 +51,7 @@
         return found == handlers.end() || (this->*found->second)(request, now);
     }
 
-    /// @brief Comes back after a crash with its durable state.
+    /// @brief Restarts after a crash with its durable state.
     void restart() {
         alive = true;
         role_ = backend_role::replica;
--- a/tests/core/group_monitor_test.cpp
+++ b/tests/core/group_monitor_test.cpp
@@ -11,7 +11,7 @@
     bool on_primary;
     void (*begin)(group_simulation&, int index);
     void (*end)(group_simulation&, int index);
-    std::int64_t gap_limit_ms; ///< For the longest time without an acknowledged write, alone.
+    std::int64_t gap_limit_ms; ///< Longest time without an acknowledged write, as the only fault.
 };
 
 void no_change(group_simulation& /*group*/, int /*index*/) {}
@@ -45,7 +45,7 @@
      [](sim& g, int) { g.repeated_percent = 0; }, 1000},
 };
 
-/// Lets @a chosen happen and heal, then checks that nothing acknowledged is missing.
+/// Injects and ends the faults @a chosen, then checks that no acknowledged write is missing.
 /// @return longest time without an acknowledged write from the first fault on
 duration run_faults(std::uint64_t seed, const std::vector<const fault*>& chosen) {
     group_simulation group{seed};
@@ -94,7 +94,8 @@
                                           testing::Range<std::size_t>(0, std::size(faults))),
                          fault_name);
 
-/// Guards against a leaving primary that keeps its role, and against lost writes on the way.
+/// Guards against a leaving primary that keeps its role, and against lost writes during the
+/// handover.
 TEST(GroupMonitor, LeavingPrimaryHandsOver) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         sim group{seed};
@@ -111,7 +112,8 @@
 
 class TwoFaults : public testing::TestWithParam<std::size_t> {};
 
-/// Guards against the same losses when a second fault of any kind strikes during the first.
+/// Guards against lost writes and two primaries in one term when a second fault of any kind occurs
+/// during the first.
 TEST_P(TwoFaults, KeepAcknowledgedWrites) {
     for (std::size_t other = 0; other < std::size(faults); ++other) {
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
--- a/tests/core/group_simulation.hpp
+++ b/tests/core/group_simulation.hpp
@@ -43,7 +43,7 @@
     fake_backend backends[size];
     vm vms[size];
     std::set<int> isolated;               ///< Failure domains without links to the others.
-    std::set<std::pair<int, int>> silent; ///< VM and backend server whose old connections stall.
+    std::set<std::pair<int, int>> silent; ///< VM and backend server whose open connections stall.
     unsigned lost_percent{0};
     unsigned repeated_percent{0};
     const fencing_policy* policy{&fencing_policy_for(fencing_mode::majority)};
@@ -61,7 +61,7 @@
             row.place = place_of(i);
         }
         for (int i = 0; i < size; ++i) {
-            own(i, i);
+            set_owner(i, i);
         }
         step();
     }
@@ -92,7 +92,8 @@
         return found;
     }
 
-    /// @brief Acknowledged writes that the primary's log lacks; all when there is no primary.
+    /// @brief Number of acknowledged writes missing in the primary's log; all when there is no
+    /// primary.
     [[nodiscard]] std::size_t lost_writes() const {
         std::set<std::uint64_t> missing = acknowledged;
         if (const int found = primary(); found >= 0) {
@@ -133,16 +134,16 @@
     void kill_vm(int index) {
         vms[index].alive = false;
         vms[index].monitors.clear();
-        // Membership finds the failure and names another owner.
+        // Membership detects the failure and assigns another owner.
         at(now_ + from_milliseconds(1500), [this, index] {
             if (!vms[index].alive) {
-                own((index + 1) % size, index);
+                set_owner((index + 1) % size, index);
             }
         });
     }
     void restart_vm(int index) {
         vms[index].alive = true;
-        own(index, index);
+        set_owner(index, index);
     }
     void resume_vm(int index) {
         if (!std::exchange(vms[index].frozen, false)) {
@@ -191,7 +192,7 @@
             }
         }
     }
-    void own(int vm_index, int backend) {
+    void set_owner(int vm_index, int backend) {
         for (auto& other : vms) {
             other.monitors.erase(backend);
         }
@@ -207,7 +208,7 @@
         carry_out(vm_index, out);
     }
 
-    /// Runs @a work at a VM; a frozen one does it after it resumes.
+    /// Runs @a work on a VM; a frozen VM runs it after it resumes.
     void deliver(int index, time_point when, std::function<void(group_monitor&, actions&)> work) {
         at(when, [this, index, work = std::move(work)] { handle(index, work); });
     }
@@ -371,7 +372,7 @@
                 deliver(index, now_ + delay(index, target), [=, this](auto& owner, actions& out) {
                     if (owner.watched().backend == id_of(target)) {
                         pending_[index].push_back(made);
-                        owner.want_position(now_, made.position, out);
+                        owner.await_position(now_, made.position, out);
                     }
                 });
             });
@@ -397,7 +398,7 @@
     time_point now_{std::chrono::seconds{1}};
     std::uint64_t payload_{0};
     std::uint64_t steps_{0};
-    std::multimap<time_point, std::function<void()>> queue_; ///< Equal times in order.
+    std::multimap<time_point, std::function<void()>> queue_; ///< Equal times keep their order.
     std::map<std::pair<int, connection_id>, link> links_;
     std::map<int, int> owner_;
     std::map<int, std::vector<pending_write>> pending_;
--- a/tests/core/group_view_test.cpp
+++ b/tests/core/group_view_test.cpp
@@ -50,7 +50,7 @@
 
 class Commit : public testing::TestWithParam<commit_case> {};
 
-/// Asks for position 10 of term 3.
+/// Checks whether position 10 of term 3 is acknowledged.
 TEST_P(Commit, NeedsAMajorityInThePrimarysTerm) {
     auto view = view_of({});
     for (const auto& made : GetParam().reports) {
@@ -91,10 +91,10 @@
 
 class Refusal : public testing::TestWithParam<refusal_case> {};
 
-/// A majority confirmed the term at 0 ms; a writer waits for position 20 since 100 ms.
+/// A majority confirmed the term at 0 ms; a writer has waited for position 20 since 100 ms.
 TEST_P(Refusal, FollowsConfirmationAndLag) {
     auto view = view_of({report(primary, 3, 3, 10), report(first, 3, 3, 10)});
-    view.expect(after(100), log_position{20});
+    view.await_position(after(100), log_position{20});
     const auto& tested = GetParam();
     const auto refuse = [&](fencing_mode mode) {
         const auto problem = fencing_policy_for(mode).refuse_write(
@@ -116,8 +116,8 @@
                                  error_kind::term_unconfirmed, error_kind::term_unconfirmed}),
     [](const auto& tested) { return std::string{tested.param.guards_against}; });
 
-/// Guards against a staleness bound that is too low: it starts before the query of the primary's
-/// position, and a replaced primary proves nothing.
+/// Guards against a staleness bound that is too low: it has to start before the query of the
+/// primary's position, and the position of a replaced primary proves nothing.
 TEST(GroupView, StalenessIsNeverTooLow) {
     auto view = view_of({report(primary, 3, 3, 10), report(first, 3, 3, 10)});
     EXPECT_EQ(view.staleness(after(50), first), from_milliseconds(50));
@@ -128,7 +128,8 @@
     EXPECT_EQ(view.staleness(after(200), first), from_milliseconds(200));
     view.observe(after(210), report(first, 3, 3, 11), std::nullopt);
     EXPECT_EQ(view.staleness(after(300), first), from_milliseconds(210));
-    // Without a majority the primary may have been replaced, however close its replica is.
+    // Without a majority the primary may have been replaced, however recent the position of its
+    // replica is.
     view.observe(after(2000), report(primary, 3, 3, 12), after(2000));
     EXPECT_EQ(view.staleness(after(2000), primary), from_milliseconds(1905));
     view.learn_primary(term{4}, second);
@@ -152,7 +153,7 @@
 /// Guards against an estimate that stays high after the replicas have caught up.
 TEST(GroupView, LagIsMeasuredAndForgotten) {
     auto view = view_of({report(primary, 3, 3, 10), report(first, 3, 3, 10)});
-    view.expect(after(0), log_position{11});
+    view.await_position(after(0), log_position{11});
     EXPECT_EQ(view.replication_lag(after(70)), from_milliseconds(70));
     view.observe(after(80), report(primary, 3, 3, 11), after(79));
     view.observe(after(80), report(first, 3, 3, 11), after(79));
--- a/tests/core/promotion_test.cpp
+++ b/tests/core/promotion_test.cpp
@@ -13,7 +13,8 @@
 namespace jackdawvane {
 namespace {
 
-/// Candidates that propose at the same time; every message travels in random order or is lost.
+/// Candidates that propose at the same time; messages are delivered in random order, and answers
+/// may be lost.
 class duel {
   public:
     explicit duel(std::uint64_t seed) : random_{seed} {
@@ -48,12 +49,12 @@
 
   private:
     promotion propose(int candidate) {
-        std::vector<promotion_member> members;
+        std::vector<promotion_server> servers;
         for (std::uint16_t i = 0; i < 3; ++i) {
-            members.push_back({backend_server_id{std::to_string(i)}, {"127.0.0.1", i}});
+            servers.push_back({backend_server_id{std::to_string(i)}, {"127.0.0.1", i}});
         }
         const vm_id name{std::to_string(candidate) + "/" + std::to_string(rounds_.size())};
-        return {{group_id{"g"}, highest_.next(), 3, name}, members, {connections_, requests_}};
+        return {{group_id{"g"}, highest_.next(), 3, name}, servers, {connections_, requests_}};
     }
     void start(promotion& started) {
         actions out;
@@ -148,15 +149,15 @@
     EXPECT_GT(won, 300);
 }
 
-/// Guards against a promotion by one acceptance while the other backend servers stay silent.
+/// Guards against a promotion with a single acceptance while the other backend servers stay silent.
 TEST(Promotion, OneAcceptanceIsNotAMajority) {
     id_sequence<connection_id> connections;
     id_sequence<request_id> requests;
-    std::vector<promotion_member> members;
+    std::vector<promotion_server> servers;
     for (std::uint16_t i = 0; i < 3; ++i) {
-        members.push_back({backend_server_id{std::to_string(i)}, {"127.0.0.1", i}});
+        servers.push_back({backend_server_id{std::to_string(i)}, {"127.0.0.1", i}});
     }
-    promotion tested{{group_id{"g"}, term{2}, 3, vm_id{"x"}}, members, {connections, requests}};
+    promotion tested{{group_id{"g"}, term{2}, 3, vm_id{"x"}}, servers, {connections, requests}};
     time_point now{std::chrono::seconds{1}};
     std::map<backend_operation, int> asked;
     actions out;
@@ -184,8 +185,8 @@
     EXPECT_EQ(tested.state(), promotion::progress::failed);
 }
 
-/// Guards against a report that was held up on its way and counts as fresh: its date is proved
-/// by what it hands back, not by the age that it states.
+/// Guards against a delayed report that counts as fresh: its date is derived from the sending time
+/// that it echoes, not from its stated age alone.
 TEST(ReportExchange, DateIsProvedOnTheReceiversClock) {
     report_exchange exchange{group_id{"g"}, backend_server_id{"a"}, {}, {}};
     exchange.configure({{backend_server_id{"b"}, {}}});
