--- a/include/jackdawvane/backends/backend_call.hpp
+++ b/include/jackdawvane/backends/backend_call.hpp
@@ -9,27 +9,27 @@
 
 namespace jackdawvane {
 
-/// @brief Ids that all parts of a node share.
+/// @brief Id sequences shared by all components of a node.
 struct node_ids {
     id_sequence<connection_id>& connections;
     id_sequence<request_id>& requests;
 };
 
-/// @brief One request at a time on a connection of its own, each with a time limit.
+/// @brief Sends one request at a time on a dedicated connection, each with a time limit.
 ///
-/// A failed call has closed its connection. Answers that do not carry the id of the present
-/// request fail the call, because the state of the connection is in doubt.
+/// A failed call closes its connection. An answer without the id of the current request fails the
+/// call, because the state of the connection is unknown.
 class backend_call {
   public:
     enum class progress { idle, running, answered, failed };
 
     backend_call(backend_server_id backend, jackdawvane::endpoint endpoint, node_ids ids);
 
-    /// @brief Sends @a request once the connection is open; opens it first where needed.
+    /// @brief Sends @a request once the connection is open; opens it first if needed.
     /// @param limit time for connecting and the answer together
     void send(time_point now, backend_request request, duration limit, actions& out);
 
-    /// @brief Event on a connection.
+    /// @brief Handles an event on a connection.
     /// @return whether the connection belongs to this call
     bool on_connected(connection_id connection, actions& out);
     bool on_disconnected(connection_id connection, const std::string& reason);
@@ -43,9 +43,9 @@
     [[nodiscard]] progress state() const noexcept { return state_; }
     [[nodiscard]] time_point next_deadline() const noexcept;
     [[nodiscard]] const backend_server_id& backend() const noexcept { return backend_; }
-    /// @brief When the present request was given; its answer cannot be older.
+    /// @brief When @ref send was called for the current request; its answer cannot be older.
     [[nodiscard]] time_point asked_at() const noexcept { return asked_at_; }
-    /// @brief The answer; meaningful in the state `answered`.
+    /// @brief The answer; valid in the state `answered` only.
     [[nodiscard]] const backend_answer& answer() const noexcept { return answer_; }
     /// @brief Why the call failed.
     [[nodiscard]] const std::string& reason() const noexcept { return reason_; }
--- a/include/jackdawvane/backends/backend_owner.hpp
+++ b/include/jackdawvane/backends/backend_owner.hpp
@@ -38,9 +38,9 @@
 struct backend_owner_settings {
     vm_id self;
     vm_incarnation incarnation;
-    duration catch_up_wait{from_milliseconds(40)};      ///< Longest wait for a replica.
-    duration transaction_idle{std::chrono::seconds{5}}; ///< Before an idle one is rolled back.
-    duration suspect_after{from_milliseconds(300)};     ///< Silence of a statement in hand.
+    duration catch_up_wait{from_milliseconds(40)};      ///< Maximum wait for a replica.
+    duration transaction_idle{std::chrono::seconds{5}}; ///< Idle time before a rollback.
+    duration slow_after{from_milliseconds(300)};        ///< Time without an answer before a probe.
     std::size_t queue_limit{256};                       ///< Queued requests per organisation.
     connection_pool_settings pool;
 };
@@ -48,8 +48,8 @@
 /// @brief Runs all requests for one backend server at the VM that owns it.
 ///
 /// Requests wait in a queue that is fair between organisations. At most as many statements are in
-/// hand as the backend server has slots. A connection serves one request at a time, is pinned
-/// for the length of an interactive transaction, and is closed when its state is in doubt.
+/// flight as the backend server has slots. A connection serves one request at a time, is pinned for
+/// the duration of an interactive transaction, and is closed when its state is unknown.
 class backend_owner {
   public:
     /// @param monitor view of the backend server's group; outlives this object
@@ -59,21 +59,21 @@
 
     void configure(const backend_server_row& row);
 
-    /// @brief Takes a request; it gets exactly one reply.
+    /// @brief Accepts a request, which gets exactly one reply.
     void submit(time_point now, owner_request request, actions& out);
 
-    /// @brief Whether the connection belonged to this owner.
+    /// @brief Handles an event on a connection and returns whether it belonged to this owner.
     bool on_connected(time_point now, connection_id id, actions& out);
     bool on_disconnected(time_point now, connection_id id, actions& out);
     bool on_answer(time_point now, connection_id id, const backend_answer& answer, actions& out);
 
-    /// @brief The group view changed: settles waiting writes and reads.
+    /// @brief Re-evaluates waiting writes and reads after a change of the group view.
     void on_view_change(time_point now, actions& out);
 
-    /// @brief This VM no longer owns the backend server: queued requests are handed back, those
-    /// in hand finish.
+    /// @brief Stops accepting new work, because this VM no longer owns the backend server: queued
+    /// requests are rejected with `wrong_owner`, those in flight finish.
     void retire(time_point now, actions& out);
-    /// @brief Whether nothing is in hand any more.
+    /// @brief Whether no request is queued, waiting or in flight and no transaction is open.
     [[nodiscard]] bool idle() const noexcept;
     [[nodiscard]] bool retired() const noexcept { return retired_; }
 
@@ -97,7 +97,7 @@
         std::deque<owner_request> waiting;
     };
 
-    /// Request that a connection is working on.
+    /// Request in flight on a connection.
     struct running_request {
         owner_request job;
         request_id id;
@@ -107,7 +107,8 @@
         bool reported_slow{false};
     };
 
-    /// Write that ran and waits for a majority, or read that waits for the backend server.
+    /// Write that was executed and waits for a majority, or read that waits for the backend server
+    /// to catch up.
     struct waiting_write {
         owner_request job;
         backend_answer answer;
@@ -124,11 +125,11 @@
     void submit_to_transaction(time_point now, owner_request job, actions& out);
     void reply_unknown_transaction(time_point now, const owner_request& job);
     [[nodiscard]] std::optional<error> check_write(time_point now, const owner_request& job) const;
-    /// @return false when the request was answered or parked instead
+    /// @return false when the request was answered instead or waits for replication
     bool check_before_run(time_point now, owner_request& job, actions& out);
     bool check_session(time_point now, owner_request& job, const backend_status& status,
                        actions& out);
-    void park(time_point now, owner_request job, actions& out);
+    void wait_for_position(time_point now, owner_request job, actions& out);
     void run(time_point now, connection_id connection, owner_request job,
              std::optional<transaction_id> transaction, actions& out);
     [[nodiscard]] backend_request make_request(const owner_request& job) const;
--- a/include/jackdawvane/backends/connection_pool.hpp
+++ b/include/jackdawvane/backends/connection_pool.hpp
@@ -12,13 +12,13 @@
 
 namespace jackdawvane {
 
-/// @brief Connections that are kept free for status polls and failover probes of all VMs.
+/// @brief Connections reserved for the status polls and failover probes of all VMs.
 inline constexpr std::uint32_t reserved_connections = 4;
 
 /// @brief Settings of a connection pool.
 struct connection_pool_settings {
     duration heartbeat_interval{std::chrono::seconds{2}}; ///< Idle time before a heartbeat.
-    duration heartbeat_timeout{from_milliseconds(500)};   ///< Silence before it is closed.
+    duration heartbeat_timeout{from_milliseconds(500)};   ///< Wait for the answer to a heartbeat.
     duration idle_timeout{std::chrono::seconds{10}};      ///< Before a surplus one is closed.
     duration connect_timeout{std::chrono::seconds{1}};
     duration retry_min{from_milliseconds(20)}; ///< First delay after a failed connect.
@@ -27,32 +27,32 @@
 
 /// @brief The connections of one owner VM to one backend server.
 ///
-/// An owner opens at most half of what the backend server's limit leaves after the reserve, so
-/// that two VMs that both believe to be the owner stay within the limit together.
+/// A pool opens at most half of the backend server's connection limit less the reserve, so that two
+/// VMs that both consider themselves the owner stay within the limit together.
 class connection_pool {
   public:
     /// @param backend the backend server
-    /// @param connections source of connection ids, shared by all parts of a node
-    /// @param requests source of request ids, shared by all parts of a node
+    /// @param connections source of connection ids, shared by all components of a node
+    /// @param requests source of request ids, shared by all components of a node
     connection_pool(backend_server_id backend, id_sequence<connection_id>& connections,
                     id_sequence<request_id>& requests, connection_pool_settings settings = {});
 
     /// @brief Sets the backend server's address, limit and number of slots.
     void configure(const endpoint& where, std::uint32_t connection_limit, std::uint32_t slots);
 
-    /// @brief Connections that the backend server counted, from all VMs.
-    void reported(std::uint32_t open_connections) noexcept;
+    /// @brief Sets the number of connections that the backend server counts from all VMs.
+    void on_connection_count(std::uint32_t open_connections) noexcept;
 
     /// @brief Opens connections until @a wanted are free or a bound is reached.
     void grow(time_point now, std::size_t wanted, actions& out);
 
-    /// @brief Takes a free connection; it is the taker's until @ref release or @ref discard.
+    /// @brief Takes a free connection, which the caller uses until @ref release or @ref discard.
     [[nodiscard]] std::optional<connection_id> acquire();
 
     /// @brief Returns a connection whose state is known to be clean.
     void release(time_point now, connection_id id, actions& out);
 
-    /// @brief Closes a connection whose state is in doubt.
+    /// @brief Closes a connection whose state is unknown.
     void discard(connection_id id, actions& out);
 
     /// @brief A connection is ready. @return whether it belongs to this pool
@@ -69,13 +69,13 @@
     void tick(time_point now, actions& out);
     [[nodiscard]] time_point next_deadline() const;
 
-    /// @brief Closes every free connection; those in use close when they are given back.
+    /// @brief Closes every free connection; those in use are closed when they are released.
     void retire(actions& out);
 
     [[nodiscard]] bool owns(connection_id id) const { return connections_.contains(id); }
     [[nodiscard]] std::size_t size() const noexcept { return connections_.size(); }
     [[nodiscard]] std::size_t free() const noexcept;
-    /// @brief Most connections that this pool may hold now.
+    /// @brief Maximum number of connections that this pool may hold now.
     [[nodiscard]] std::size_t limit() const noexcept;
 
   private:
@@ -85,7 +85,7 @@
         state phase{state::connecting};
         time_point since;     ///< Start of the phase.
         time_point last_use;  ///< Last time that a request used it.
-        request_id heartbeat; ///< Request id of the heartbeat under way.
+        request_id heartbeat; ///< Request id of the heartbeat in flight.
     };
 
     void open_one(time_point now, actions& out);
@@ -102,7 +102,7 @@
     endpoint endpoint_;
     std::uint32_t connection_limit_{0};
     std::size_t slots_{1};
-    std::size_t others_{0}; ///< Connections of other VMs, as last reported.
+    std::size_t other_connections_{0}; ///< Connections of other VMs, as last reported.
     bool retired_{false};
     duration retry_delay_{0};
     time_point retry_at_;
--- a/include/jackdawvane/backends/owned_backends.hpp
+++ b/include/jackdawvane/backends/owned_backends.hpp
@@ -25,12 +25,12 @@
     backend_owner_settings owner;
 };
 
-/// @brief The backend servers that this VM owns, and who owns the others.
+/// @brief Runs the backend servers that this VM owns, and knows the owners of the others.
 class owned_backends {
   public:
     owned_backends(owned_backends_settings settings, random_engine& random, node_ids ids);
 
-    /// @brief Takes over, keeps or hands back backend servers after a change of the
+    /// @brief Takes over, keeps or releases backend servers after a change of the
     /// configuration or of the fleet.
     /// @complexity O(backend servers x live VMs)
     void reconcile(time_point now, const configuration_document& document,
@@ -49,11 +49,11 @@
                    actions& out);
     void on_report(time_point now, const group_report& report, actions& out);
 
-    /// @brief This VM was paused; confirmations from before do not count any more.
+    /// @brief Discards all confirmations, because this VM was paused.
     void paused(time_point now, actions& out);
-    /// @brief Hands all backend servers back; open work finishes.
+    /// @brief Releases all backend servers; requests and transactions in progress finish.
     void retire_all(time_point now, actions& out);
-    /// @brief Whether no work is in hand any more.
+    /// @brief Whether no work is in progress.
     [[nodiscard]] bool idle() const;
 
     void tick(time_point now, actions& out);
@@ -77,23 +77,23 @@
         std::unique_ptr<backend_owner> requests;
     };
 
-    void place(const configuration_document& document, std::span<const vm_entry> live);
+    void assign_owners(const configuration_document& document, std::span<const vm_entry> live);
     void take_over(time_point now, const backend_server_id& backend, const group_id& group,
                    const group_row& row, actions& out);
     void configure(const backend_server_id& backend, owned& which, const group_row& row) const;
-    void hand_back(time_point now, const backend_server_id& backend, actions& out);
-    void drop_finished(actions& out);
+    void release_ownership(time_point now, const backend_server_id& backend, actions& out);
+    void erase_idle_retired(actions& out);
     void collect_replies();
-    /// Calls @a accepts for each backend server, owned or handed back, until one accepts.
+    /// Calls @a accepts for each backend server, owned or released, until one accepts.
     template <class Function>
-    bool first_that(Function accepts);
+    bool visit_until_accepted(Function accepts);
 
     owned_backends_settings settings_;
     random_engine& random_;
     node_ids ids_;
     std::map<backend_server_id, vm_entry> owners_;
     std::map<backend_server_id, owned> owned_;
-    std::vector<owned> retired_; ///< Handed back, with work still in hand.
+    std::vector<owned> retired_; ///< Released, with work still in progress.
     std::vector<owner_reply> replies_;
 };
 
--- a/src/core/backends/backend_call.cpp
+++ b/src/core/backends/backend_call.cpp
@@ -40,7 +40,7 @@
         return false;
     }
     link_ = link::closed;
-    fail(reason.empty() ? "the connection closed" : reason);
+    fail(reason.empty() ? "the connection was closed" : reason);
     return true;
 }
 
@@ -50,7 +50,7 @@
     }
     if (state_ != progress::running || answer.id != request_.id) {
         close(out);
-        fail("an answer to another request arrived");
+        fail("received an answer to another request");
         return true;
     }
     answer_ = answer;
@@ -62,7 +62,7 @@
 void backend_call::tick(time_point now, actions& out) {
     if (state_ == progress::running && now >= deadline_) {
         close(out);
-        fail("no answer in time");
+        fail("no answer within the time limit");
     }
 }
 
--- a/src/core/backends/backend_owner.cpp
+++ b/src/core/backends/backend_owner.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// Time after which a request that a retired owner handed back finds the new owner.
-constexpr duration no_delay{0};
+/// Retry delay of requests that a retired owner rejects; the new owner can be asked at once.
+constexpr duration retry_at_once{0};
 
-bool opens_work(request_kind kind) {
+bool needs_free_connection(request_kind kind) {
     return kind == request_kind::single || kind == request_kind::begin;
 }
 
@@ -57,14 +57,14 @@
 }
 
 void backend_owner::submit(time_point now, owner_request request, actions& out) {
-    if (!opens_work(request.request.kind)) {
+    if (!needs_free_connection(request.request.kind)) {
         submit_to_transaction(now, std::move(request), out);
         return;
     }
     if (retired_) {
         reply_problem(
             now, request, outcome::not_run,
-            error{error_kind::wrong_owner, backend_.str() + " has a new owner", no_delay});
+            error{error_kind::wrong_owner, backend_.str() + " has a new owner", retry_at_once});
         return;
     }
     if (!check_before_run(now, request, out)) {
@@ -107,10 +107,10 @@
 }
 
 void backend_owner::reply_unknown_transaction(time_point now, const owner_request& job) {
-    // A repeated commit must not be told "not run" when the first one may have run.
-    const bool surely_ended = std::find(rolled_back_.begin(), rolled_back_.end(),
-                                        job.request.transaction) != rolled_back_.end();
-    const bool may_have_run = job.request.kind == request_kind::commit && !surely_ended;
+    // A repeated commit must not be answered with `not_run` when the first one may have run.
+    const bool known_rolled_back = std::find(rolled_back_.begin(), rolled_back_.end(),
+                                             job.request.transaction) != rolled_back_.end();
+    const bool may_have_run = job.request.kind == request_kind::commit && !known_rolled_back;
     reply_problem(now, job, may_have_run ? outcome::unknown : outcome::not_run,
                   error{error_kind::unknown_transaction, {}, {}});
 }
@@ -155,7 +155,7 @@
         case prefix_check::contained:
             continue;
         case prefix_check::behind:
-            park(now, std::move(job), out);
+            wait_for_position(now, std::move(job), out);
             return false;
         case prefix_check::lost:
             // Only the primary's history is final; a replica may still follow an older term.
@@ -165,16 +165,17 @@
             }
             [[fallthrough]];
         case prefix_check::stale_branch:
-            reply_problem(
-                now, job, outcome::not_run,
-                error{error_kind::replica_behind, backend_.str() + " is on an old term", {}});
+            reply_problem(now, job, outcome::not_run,
+                          error{error_kind::replica_behind,
+                                backend_.str() + " has the log of an older term",
+                                {}});
             return false;
         }
     }
     return true;
 }
 
-void backend_owner::park(time_point now, owner_request job, actions& out) {
+void backend_owner::wait_for_position(time_point now, owner_request job, actions& out) {
     const auto give_up = std::min(job.arrived + settings_.catch_up_wait, job.deadline);
     if (now >= give_up) {
         const auto kind = is_primary() ? error_kind::token_ahead : error_kind::replica_behind;
@@ -287,13 +288,13 @@
             enqueue(now, std::move(read.job), out);
         }
     }
-    pool_.reported(own_status().connections);
+    pool_.on_connection_count(own_status().connections);
     dispatch(now, out);
 }
 
 void backend_owner::retire(time_point now, actions& out) {
     retired_ = true;
-    const error moved{error_kind::wrong_owner, backend_.str() + " has a new owner", no_delay};
+    const error moved{error_kind::wrong_owner, backend_.str() + " has a new owner", retry_at_once};
     for (auto& queued : queue_.expire(no_deadline)) {
         reply_problem(now, queued.item, outcome::not_run, moved);
     }
@@ -316,7 +317,7 @@
     for (const auto& [connection, entry] : running_) {
         next = std::min(next, entry.job.deadline);
         if (!entry.reported_slow) {
-            next = std::min(next, entry.sent + settings_.suspect_after);
+            next = std::min(next, entry.sent + settings_.slow_after);
         }
     }
     for (const auto& write : waiting_writes_) {
--- a/src/core/backends/backend_owner_completion.cpp
+++ b/src/core/backends/backend_owner_completion.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Transactions whose rollback is remembered, so that a late commit is told that it did not run.
-constexpr std::size_t remembered_rollbacks = 1000;
+/// Rolled-back transactions that are remembered, so that a late commit is answered with `not_run`.
+constexpr std::size_t max_remembered_rollbacks = 1000;
 
 /// Whether a request may have changed data once it was sent to a backend server.
 bool may_change_data(const forward_request& request) {
@@ -67,7 +67,7 @@
     const auto found = running_.find(id);
     if (found == running_.end() || found->second.id != answer.id) {
         log(out, "connections", log_level::warning,
-            "closed connection to " + backend_.str() + ": answer to another request");
+            "closed connection to " + backend_.str() + ": received an answer to another request");
         fail_running(now, id, error_kind::connection_lost, out);
         pool_.discard(id, out);
         dispatch(now, out);
@@ -110,7 +110,9 @@
         complete_write(now, std::move(job), answer, out);
     } else if (exceeds_staleness(now, done)) {
         reply_problem(now, job, outcome::unknown,
-                      error{error_kind::staleness_unproved, "the answer took too long", {}});
+                      error{error_kind::staleness_unproved,
+                            "the answer took too long for the staleness limit",
+                            {}});
     } else {
         complete_read(now, std::move(job), answer, out);
     }
@@ -146,9 +148,12 @@
     }
     if (view.known_term() > answered_term) {
         log(out, "failover", log_level::warning,
-            "outcome unknown at " + backend_.str() + ": primary replaced before a majority had it");
+            "outcome unknown at " + backend_.str() +
+                ": primary replaced before a majority had the write");
         reply_problem(now, job, outcome::unknown,
-                      error{error_kind::commit_unconfirmed, "the primary was replaced", {}});
+                      error{error_kind::commit_unconfirmed,
+                            "the primary was replaced before a majority had the write",
+                            {}});
         return;
     }
     monitor_.await_position(now, answer.written, out);
@@ -203,7 +208,7 @@
     for (auto& [connection, entry] : running_) {
         if (now >= entry.job.deadline) {
             expired.push_back(connection);
-        } else if (!entry.reported_slow && now >= entry.sent + settings_.suspect_after) {
+        } else if (!entry.reported_slow && now >= entry.sent + settings_.slow_after) {
             entry.reported_slow = true;
             if (is_primary()) {
                 monitor_.suspect(now, out);
@@ -224,9 +229,12 @@
             continue;
         }
         log(out, "failover", log_level::warning,
-            "outcome unknown at " + backend_.str() + ": no majority within the deadline");
+            "outcome unknown at " + backend_.str() +
+                ": no majority had the write within the deadline");
         reply_problem(now, write.job, outcome::unknown,
-                      error{error_kind::commit_unconfirmed, "no majority within the deadline", {}});
+                      error{error_kind::commit_unconfirmed,
+                            "no majority had the write within the deadline",
+                            {}});
     }
     auto reads = std::exchange(waiting_reads_, {});
     for (auto& read : reads) {
@@ -249,7 +257,7 @@
     for (const auto& id : expired) {
         log(out, "queue", log_level::info, "rolled back an idle transaction at " + backend_.str());
         rolled_back_.push_back(id);
-        if (rolled_back_.size() > remembered_rollbacks) {
+        if (rolled_back_.size() > max_remembered_rollbacks) {
             rolled_back_.pop_front();
         }
         end_transaction(now, id, false, out);
--- a/src/core/backends/connection_pool.cpp
+++ b/src/core/backends/connection_pool.cpp
@@ -26,14 +26,14 @@
         return 0;
     }
     const std::size_t usable = connection_limit_ - reserved_connections;
-    const std::size_t left = usable > others_ ? usable - others_ : 0;
+    const std::size_t left = usable > other_connections_ ? usable - other_connections_ : 0;
     return std::min(usable / 2, left);
 }
 
-void connection_pool::reported(std::uint32_t open_connections) noexcept {
+void connection_pool::on_connection_count(std::uint32_t open_connections) noexcept {
     // The owner's status connection is part of the reserve.
     const std::size_t own = connections_.size() - in_phase(state::connecting) + 1;
-    others_ = open_connections > own ? open_connections - own : 0;
+    other_connections_ = open_connections > own ? open_connections - own : 0;
 }
 
 std::size_t connection_pool::in_phase(state phase) const noexcept {
@@ -50,10 +50,11 @@
     if (retired_ || now < retry_at_) {
         return;
     }
-    auto coming = in_phase(state::idle) + in_phase(state::connecting) + in_phase(state::checking);
-    while (coming < wanted && connections_.size() < limit()) {
+    auto available =
+        in_phase(state::idle) + in_phase(state::connecting) + in_phase(state::checking);
+    while (available < wanted && connections_.size() < limit()) {
         open_one(now, out);
-        ++coming;
+        ++available;
     }
 }
 
@@ -64,7 +65,8 @@
 }
 
 std::optional<connection_id> connection_pool::acquire() {
-    // The connection used last is taken first, so that surplus ones stay idle and get closed.
+    // The most recently used connection is taken first, so that surplus ones stay idle and are
+    // closed.
     auto best = connections_.end();
     for (auto it = connections_.begin(); it != connections_.end(); ++it) {
         const bool better =
@@ -197,7 +199,7 @@
         }
         if (phase == state::checking) {
             log(out, "connections", log_level::warning,
-                "closed silent connection to " + backend_.str());
+                "closed connection without heartbeat answer to " + backend_.str());
         }
         discard(id, out);
     }
--- a/src/core/backends/owned_backends.cpp
+++ b/src/core/backends/owned_backends.cpp
@@ -21,7 +21,8 @@
     return found == owners_.end() ? nullptr : &found->second;
 }
 
-void owned_backends::place(const configuration_document& document, std::span<const vm_entry> live) {
+void owned_backends::assign_owners(const configuration_document& document,
+                                   std::span<const vm_entry> live) {
     owners_.clear();
     for (const auto& [pool, pool_row] : document.pools) {
         for (const auto& [group, group_row] : pool_row.groups) {
@@ -40,7 +41,7 @@
 
 void owned_backends::reconcile(time_point now, const configuration_document& document,
                                std::span<const vm_entry> live, actions& out) {
-    place(document, live);
+    assign_owners(document, live);
     std::map<backend_server_id, std::pair<group_id, const group_row*>> wanted;
     for (const auto& [pool, pool_row] : document.pools) {
         for (const auto& [group, group_row] : pool_row.groups) {
@@ -59,7 +60,7 @@
         }
     }
     for (const auto& backend : lost) {
-        hand_back(now, backend, out);
+        release_ownership(now, backend, out);
     }
     for (const auto& [backend, place] : wanted) {
         take_over(now, backend, place.first, *place.second, out);
@@ -99,15 +100,16 @@
     which.requests->configure(row.backend_servers.at(backend));
 }
 
-void owned_backends::hand_back(time_point now, const backend_server_id& backend, actions& out) {
+void owned_backends::release_ownership(time_point now, const backend_server_id& backend,
+                                       actions& out) {
     auto node = owned_.extract(backend);
     auto& which = node.mapped();
     which.requests->retire(now, out);
-    log(out, "placement", log_level::info, "handed back backend server " + backend.str());
+    log(out, "placement", log_level::info, "released backend server " + backend.str());
     retired_.push_back(std::move(which));
 }
 
-void owned_backends::drop_finished(actions& out) {
+void owned_backends::erase_idle_retired(actions& out) {
     std::erase_if(retired_, [&out](owned& which) {
         if (!which.requests->idle()) {
             return false;
@@ -124,7 +126,7 @@
         collect_replies();
         return;
     }
-    // An interactive transaction finishes where it was begun.
+    // An interactive transaction finishes on the VM on which it was begun.
     for (auto& which : retired_) {
         if (which.monitor->watched().backend == request.request.backend) {
             which.requests->submit(now, std::move(request), out);
@@ -138,12 +140,12 @@
     const bool may_have_run = request.request.kind == request_kind::commit;
     reply.result = may_have_run ? outcome::unknown : outcome::not_run;
     reply.problem = error{follow_up ? error_kind::unknown_transaction : error_kind::wrong_owner,
-                          request.request.backend.str() + " is not owned here", duration{0}};
+                          request.request.backend.str() + " is not owned by this VM", duration{0}};
     replies_.push_back({std::move(request.from), std::move(reply)});
 }
 
 template <class Function>
-bool owned_backends::first_that(Function accepts) {
+bool owned_backends::visit_until_accepted(Function accepts) {
     const auto owned_end = owned_.end();
     const auto found =
         std::find_if(owned_.begin(), owned_end, [&](auto& entry) { return accepts(entry.second); });
@@ -151,12 +153,12 @@
 }
 
 void owned_backends::on_connected(time_point now, connection_id connection, actions& out) {
-    const bool known = first_that([&](owned& which) {
+    const bool known = visit_until_accepted([&](owned& which) {
         return which.monitor->on_connected(now, connection, out) ||
                which.requests->on_connected(now, connection, out);
     });
     if (!known) {
-        // A connection that no part waits for would count against the backend server's limit.
+        // A connection that no component waits for would count against the backend server's limit.
         out.emplace_back(close_connection{connection});
     }
     collect_replies();
@@ -164,7 +166,7 @@
 
 void owned_backends::on_disconnected(time_point now, connection_id connection,
                                      const std::string& reason, actions& out) {
-    first_that([&](owned& which) {
+    visit_until_accepted([&](owned& which) {
         if (which.monitor->on_disconnected(now, connection, reason, out)) {
             which.requests->on_view_change(now, out);
             return true;
@@ -176,7 +178,7 @@
 
 void owned_backends::on_answer(time_point now, connection_id connection,
                                const backend_answer& answer, actions& out) {
-    first_that([&](owned& which) {
+    visit_until_accepted([&](owned& which) {
         if (which.monitor->on_answer(now, connection, answer, out)) {
             which.requests->on_view_change(now, out);
             return true;
@@ -187,8 +189,8 @@
 }
 
 void owned_backends::on_report(time_point now, const group_report& report, actions& out) {
-    first_that([&](owned& which) {
-        // A monitor knows its own backend server better than a report does.
+    visit_until_accepted([&](owned& which) {
+        // A monitor has newer data about its own backend server than a report has.
         const bool concerned = which.group == report.group &&
                                which.monitor->watched().backend != report.report.backend;
         if (concerned) {
@@ -208,7 +210,7 @@
 
 void owned_backends::retire_all(time_point now, actions& out) {
     while (!owned_.empty()) {
-        hand_back(now, backend_server_id{owned_.begin()->first}, out);
+        release_ownership(now, backend_server_id{owned_.begin()->first}, out);
     }
     collect_replies();
 }
@@ -218,7 +220,7 @@
 }
 
 void owned_backends::tick(time_point now, actions& out) {
-    first_that([&](owned& which) {
+    visit_until_accepted([&](owned& which) {
         if (which.monitor->next_deadline() <= now) {
             which.monitor->tick(now, out);
             which.requests->on_view_change(now, out);
@@ -228,7 +230,7 @@
         }
         return false;
     });
-    drop_finished(out);
+    erase_idle_retired(out);
     collect_replies();
 }
 
@@ -245,7 +247,7 @@
 }
 
 void owned_backends::collect_replies() {
-    first_that([this](owned& which) {
+    visit_until_accepted([this](owned& which) {
         auto made = which.requests->take_replies();
         std::move(made.begin(), made.end(), std::back_inserter(replies_));
         return false;
--- a/tests/core/backend_owner_test.cpp
+++ b/tests/core/backend_owner_test.cpp
@@ -25,7 +25,7 @@
     return settings;
 }
 
-/// An owner with its monitor in front of one backend server, which is the whole group.
+/// An owner with its monitor for one backend server, which is the whole group.
 class BackendOwner : public testing::Test {
   protected:
     BackendOwner() {
@@ -44,7 +44,7 @@
         EXPECT_EQ(monitor_.view().primary(), backend_);
     }
 
-    /// Lets 1 ms pass; connections open and everything but data requests is answered.
+    /// Advances the clock by 1 ms, opens connections and answers all requests but data requests.
     void step() {
         now_ += from_milliseconds(1);
         exchange(is_status_or_promotion);
@@ -141,12 +141,12 @@
 
     /// The data request that the backend server received first and has not answered.
     send_to_backend data_request() {
-        EXPECT_GE(data_in_hand(), 1U);
+        EXPECT_GE(pending_data_requests(), 1U);
         return *std::find_if(server_.received.begin(), server_.received.end(),
                              [](const auto& sent) { return is_data(sent.request); });
     }
 
-    std::size_t data_in_hand() {
+    std::size_t pending_data_requests() {
         server_.take(out_);
         out_.clear();
         return static_cast<std::size_t>(
@@ -170,7 +170,7 @@
     std::uint64_t last_id_{0};
 };
 
-/// Guards against an order that is acknowledged with the wrong or no position.
+/// Guards against a write that is acknowledged with a wrong position or none.
 TEST_F(BackendOwner, WriteIsDoneWithItsOwnPosition) {
     const auto id = submit(make(request_kind::single, access_mode::write));
     serve_all();
@@ -179,13 +179,13 @@
     EXPECT_EQ(replies_[id].seen->position, server_.status.position);
 }
 
-/// Guards against more statements in hand than the backend server has slots.
+/// Guards against more statements in flight than the backend server has slots.
 TEST_F(BackendOwner, KeepsToTheSlots) {
     for (int i = 0; i < 20; ++i) {
         submit(make(request_kind::single, access_mode::read));
     }
     run_for(5);
-    EXPECT_EQ(data_in_hand(), slots);
+    EXPECT_EQ(pending_data_requests(), slots);
 }
 
 /// Guards against an organisation that fills the queue and delays all others.
@@ -218,16 +218,16 @@
             request.transaction = begin(GetParam().mode);
         }
         const auto id = submit(request, 400);
-        for (int i = 0; i < 5 && data_in_hand() == 0; ++i) {
+        for (int i = 0; i < 5 && pending_data_requests() == 0; ++i) {
             step();
         }
-        EXPECT_EQ(data_in_hand(), 1U);
+        EXPECT_EQ(pending_data_requests(), 1U);
         return id;
     }
 };
 
-/// Guards against an outcome that says "not run" after a write was sent, and against a connection
-/// that is used again while its state is in doubt.
+/// Guards against the outcome `not_run` for a write that was sent, and against the reuse of a
+/// connection whose state is unknown.
 TEST_P(Doubt, LostConnection) {
     const auto id = send_one();
     const auto sent = data_request();
@@ -290,15 +290,15 @@
     }
 }
 
-/// Guards against a transaction that another organisation takes over by its id.
+/// Guards against the use of a transaction by another organisation that knows its id.
 TEST_F(BackendOwner, TransactionBelongsToItsOrganisation) {
-    auto stolen = make(request_kind::commit, access_mode::write, "thief");
-    stolen.transaction = begin(access_mode::write);
-    const auto id = submit(stolen);
+    auto foreign = make(request_kind::commit, access_mode::write, "thief");
+    foreign.transaction = begin(access_mode::write);
+    const auto id = submit(foreign);
     EXPECT_EQ(replies_[id].problem.kind, error_kind::unknown_transaction);
 }
 
-/// Guards against a transaction whose caller is gone and that keeps its connection.
+/// Guards against a transaction that keeps its connection after its caller is gone.
 TEST_F(BackendOwner, IdleTransactionIsRolledBack) {
     begin(access_mode::write);
     EXPECT_FALSE(owner_.idle());
@@ -306,8 +306,8 @@
     EXPECT_TRUE(owner_.idle());
 }
 
-/// Guards against "not run" for a repeated commit whose first try may have run, and against
-/// "unknown" for a commit that comes after the rollback.
+/// Guards against `not_run` for a repeated commit whose first attempt may have run, and against
+/// `unknown` for a commit that arrives after the rollback.
 TEST_F(BackendOwner, CommitOfAnEndedTransactionTellsWhatIsKnown) {
     auto commit = make(request_kind::commit, access_mode::write);
     commit.transaction = begin(access_mode::write);
@@ -330,13 +330,13 @@
     request.session = {{group_id{"g"}, server_.status.last_entry_term, ahead}};
     const auto id = submit(request);
     run_for(10);
-    EXPECT_EQ(data_in_hand(), 0U);
+    EXPECT_EQ(pending_data_requests(), 0U);
     run_for(100);
     ASSERT_TRUE(replies_.contains(id));
     EXPECT_EQ(replies_[id].result, outcome::not_run);
 }
 
-/// Guards against queued requests that are lost or run after the backend server changed hands.
+/// Guards against queued requests that are lost or run after the backend server changed owners.
 TEST_F(BackendOwner, RetireHandsBackTheQueueAndFinishesWhatRuns) {
     std::vector<std::uint64_t> ids;
     for (int i = 0; i < 10; ++i) {
--- a/tests/core/connection_pool_test.cpp
+++ b/tests/core/connection_pool_test.cpp
@@ -30,7 +30,7 @@
         return pool;
     }
 
-    /// Lets every connection that the pool asked for become ready.
+    /// Reports every connection that the pool opened as connected.
     void connect_all(connection_pool& pool, time_point now) {
         for (const auto& opened : all_of<open_connection>(out_)) {
             pool.on_connected(now, opened.connection);
@@ -46,7 +46,7 @@
 struct limit_case {
     const char* name;
     std::uint32_t limit;
-    std::uint32_t reported; ///< Connections that the backend server counts in all.
+    std::uint32_t reported; ///< Connections that the backend server counts in total.
     std::size_t expected;
 };
 
@@ -55,7 +55,7 @@
 /// Guards against two owners that together exceed the backend server's connection limit.
 TEST_P(PoolLimit, BoundsConnections) {
     auto pool = make_pool(GetParam().limit);
-    pool.reported(GetParam().reported);
+    pool.on_connection_count(GetParam().reported);
     pool.grow(start, 100, out_);
     EXPECT_EQ(all_of<open_connection>(out_).size(), GetParam().expected);
     EXPECT_LE(2 * pool.limit() + reserved_connections, std::max(GetParam().limit, 4U));
@@ -69,7 +69,7 @@
                                          limit_case{"others_hold_all", 20, 20, 0}),
                          [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a connection that another request still uses.
+/// Guards against handing out a connection that another request still uses.
 TEST_F(ConnectionPool, GivesEachConnectionToOneUser) {
     auto pool = make_pool(20);
     pool.grow(start, 2, out_);
@@ -83,21 +83,21 @@
     EXPECT_EQ(pool.acquire(), first);
 }
 
-/// Guards against connections that went silent and are used for the next request.
+/// Guards against the use of a silent connection for the next request.
 TEST_F(ConnectionPool, ClosesAConnectionThatDoesNotAnswerAHeartbeat) {
     auto pool = make_pool(20);
     pool.grow(start, 1, out_);
     connect_all(pool, start);
     pool.tick(start + std::chrono::seconds{2}, out_);
     ASSERT_EQ(all_of<send_to_backend>(out_).size(), 1U);
-    EXPECT_FALSE(pool.acquire()) << "in use while it is checked";
+    EXPECT_FALSE(pool.acquire()) << "handed out while a heartbeat is in flight";
     out_.clear();
     pool.tick(start + std::chrono::seconds{3}, out_);
     EXPECT_EQ(all_of<close_connection>(out_).size(), 1U);
     EXPECT_EQ(pool.size(), 0U);
 }
 
-/// Guards against a crossed answer that is taken for the answer to a heartbeat.
+/// Guards against an answer to another request that counts as the answer to a heartbeat.
 TEST_F(ConnectionPool, ClosesAConnectionWithACrossedHeartbeatAnswer) {
     auto pool = make_pool(20);
     pool.grow(start, 1, out_);
