--- a/include/jackdawvane/membership/member_table.hpp
+++ b/include/jackdawvane/membership/member_table.hpp
@@ -9,69 +9,71 @@
 #include <vector>
 
 /// @file
-/// @brief What one VM knows about the others, and the rules that order contradicting news.
+/// @brief One VM's records of all VMs, and the rules that order conflicting updates.
 
 namespace jackdawvane {
 
-/// @brief One VM of the fleet as this VM knows it.
+/// @brief Record of one VM of the fleet, as seen by this VM.
 struct member_record {
-    vm_entry entry;             ///< `state` is the platform list's view.
-    vm_incarnation incarnation; ///< 0 until the VM was heard, by this VM or another.
+    vm_entry entry;             ///< `state` comes from the platform's VM list.
+    vm_incarnation incarnation; ///< 0 until this VM or another has had a message from it.
     std::uint64_t refutation{0};
     member_health health{member_health::alive};
 
-    bool presumed{false};   ///< Counts as live before it was heard; set from the first list.
-    bool listed{false};     ///< On the platform's list, as of `list_version`.
-    bool was_listed{false}; ///< Was on the list at some time.
+    bool presumed_live{false}; ///< Counts as live before its first message; set from the list.
+    bool listed{false};        ///< On the platform's list, as of `list_version`.
+    bool was_listed{false};    ///< Has been on the list at any time.
     std::uint64_t list_version{0};
 
     time_point suspect_until{no_deadline};
-    bool own_suspicion{false};  ///< This VM's own probe failed.
-    time_point known_since{};   ///< When this incarnation was first heard of.
-    revision configuration;     ///< Revision in the last probe from the VM.
-    std::uint64_t told_self{0}; ///< Version of this VM's own entry that the VM has acknowledged.
-    std::uint32_t sends_left{0};
-
-    /// @brief Whether work can be given to or expected from the VM.
+    bool own_suspicion{false}; ///< A probe from this VM failed.
+    time_point known_since{};  ///< When this incarnation became known here.
+    revision configuration;    ///< Revision in the last probe from the VM.
+    /// Version of this VM's own record that the other VM has acknowledged.
+    std::uint64_t acknowledged_self_version{0};
+    std::uint32_t sends_left{0}; ///< Number of messages that it is still to be attached to.
+
+    /// @brief Whether the VM counts as live: it can be given work and may still be doing some.
     [[nodiscard]] bool is_up() const noexcept {
-        return health != member_health::dead && (incarnation.value() > 0 || presumed);
+        return health != member_health::dead && (incarnation.value() > 0 || presumed_live);
     }
 };
 
-/// @brief How an update compares with what was known.
+/// @brief Effect of merging an update into a record.
 enum class merge_result {
     unchanged,
-    stale,  ///< Older than what is known here.
-    news,   ///< Changed the record.
-    itself, ///< About this VM and contradicting it; has been refuted.
+    stale,   ///< Older than the record.
+    changed, ///< The record changed.
+    refuted, ///< Wrongly reported the health of this VM, which refuted it.
 };
 
 /// @brief Records of all VMs, this one included.
 ///
-/// Health is ordered by incarnation, then refutation number, then severity, so that all VMs
-/// settle on the same record in any order of arrival. The platform list's facts are ordered by
-/// list version on their own.
+/// Health updates are ordered by incarnation, then refutation number, then severity, so that all
+/// VMs converge to the same record in any order of arrival. The facts of the platform's VM list
+/// are ordered separately, by list version.
 class member_table {
   public:
     member_table(const vm_entry& self, vm_incarnation incarnation);
 
-    /// @brief Takes news about a VM.
+    /// @brief Merges an update about a VM.
     merge_result merge(time_point now, const member_update& update);
 
-    /// @brief Takes a direct message of incarnation @a incarnation of a known VM.
-    /// @return `stale` for an earlier incarnation, `news` for a later one
-    merge_result hear(time_point now, const vm_id& vm, vm_incarnation incarnation);
+    /// @brief Records that a message arrived from incarnation @a incarnation of a VM.
+    /// @return `stale` for an unknown VM or an earlier incarnation, `changed` for a later one that
+    /// is not just the first message of a VM that was presumed live
+    merge_result observe_incarnation(time_point now, const vm_id& vm, vm_incarnation incarnation);
 
-    /// @brief Takes the platform's list.
-    /// @param presume whether its VMs count as live before they are heard
-    /// @return VMs whose facts have changed; empty for a list older than the last one
-    std::vector<vm_id> take_list(time_point now, const std::vector<vm_entry>& list,
-                                 std::uint64_t version, bool presume);
+    /// @brief Applies the platform's VM list.
+    /// @param presume whether its VMs count as live before their first message
+    /// @return VMs whose listing changed; empty for a list older than the last one
+    std::vector<vm_id> apply_list(time_point now, const std::vector<vm_entry>& list,
+                                  std::uint64_t version, bool presume);
 
     /// @brief Sets the health of a VM within its incarnation.
-    static void judge(member_record& record, member_health health);
+    static void set_health(member_record& record, member_health health);
 
-    /// @brief Announces that this VM leaves.
+    /// @brief Marks this VM as leaving in its own record.
     void leave_self();
 
     [[nodiscard]] member_update update_about(const member_record& record) const;
@@ -79,17 +81,17 @@
     [[nodiscard]] const member_record* find(const vm_id& vm) const;
     [[nodiscard]] member_record& self() { return *self_; }
     [[nodiscard]] const member_record& self() const { return *self_; }
-    /// @brief Rises with each change that this VM makes to its own record.
+    /// @brief Increases with each change that this VM makes to its own record.
     [[nodiscard]] std::uint64_t self_version() const noexcept { return self_version_; }
     [[nodiscard]] std::map<vm_id, member_record>& records() noexcept { return records_; }
     [[nodiscard]] const std::map<vm_id, member_record>& records() const noexcept {
         return records_;
     }
 
-    /// @brief VMs that count as live, with the state `leaving` where either source says so.
+    /// @brief VMs that count as live; `leaving` if either the VM or the platform says so.
     [[nodiscard]] std::vector<vm_entry> live() const;
 
-    /// @brief VMs that were listed, are not any more, and do not answer.
+    /// @brief VMs that were removed from the list and do not count as live.
     [[nodiscard]] std::vector<vm_id> gone() const;
 
   private:
--- a/include/jackdawvane/membership/placement.hpp
+++ b/include/jackdawvane/membership/placement.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 /// @file
-/// @brief Decides by rendezvous hashing which live VM does what, without communication.
+/// @brief Assigns tasks to live VMs by rendezvous hashing, without communication.
 
 namespace jackdawvane {
 
@@ -24,14 +24,14 @@
 [[nodiscard]] std::vector<vm_id> rank_vms(std::string_view key,
                                           std::span<const vm_entry> candidates);
 
-/// @brief VM that holds the connections to a backend server.
+/// @brief VM that owns the connections to a backend server.
 ///
 /// Prefers VMs of the backend server's failure domain, then of its region, then any. VMs that
-/// are leaving are passed over.
+/// are leaving are skipped.
 /// @param backend the backend server
-/// @param place where the backend server stands
-/// @param live VMs that are believed to be alive
-/// @return the owner, or nothing when no VM is live
+/// @param place location of the backend server
+/// @param live VMs that count as live
+/// @return the owner, or nothing if no VM is eligible
 [[nodiscard]] std::optional<vm_id> owner_of(const backend_server_id& backend, const location& place,
                                             std::span<const vm_entry> live);
 
@@ -45,12 +45,12 @@
                                                   std::size_t count);
 
 /// @brief VMs that hold shares of @a group.
-/// @param live VMs that are believed to be alive; those that are leaving are passed over
-/// @param per_domain VMs of each failure domain
-/// @param most VMs in all
+/// @param live VMs that count as live; those that are leaving are skipped
+/// @param per_domain maximum number of VMs of each failure domain
+/// @param max_holders maximum number of VMs in total
 /// @complexity O(n log n)
 [[nodiscard]] std::vector<vm_id> share_holders(const share_group_id& group,
                                                std::span<const vm_entry* const> live,
-                                               std::size_t per_domain, std::size_t most);
+                                               std::size_t per_domain, std::size_t max_holders);
 
 } // namespace jackdawvane
--- a/src/core/membership/member_table.cpp
+++ b/src/core/membership/member_table.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Within one refutation number the graver news wins; `left` is final short of `dead`.
+/// Within one refutation number the more severe state wins; only `dead` overrides `left`.
 int severity(member_health health) noexcept {
     switch (health) {
     case member_health::alive:
@@ -29,10 +29,10 @@
     return std::tuple{item.incarnation, item.refutation, severity(item.health)};
 }
 
-/// A listed VM that counts as live already is heard for the first time. Spreading this would
-/// cost each VM of a fleet that starts at once a message about every other one.
+/// Whether @a update is the first message of a VM that was already presumed live. Such an update is
+/// not gossiped: when a whole fleet starts, each VM would receive one about every other VM.
 bool confirms_presumption(const member_record& record, const member_update& update) {
-    return record.presumed && record.incarnation.value() == 0 &&
+    return record.presumed_live && record.incarnation.value() == 0 &&
            record.health == member_health::alive && update.health == member_health::alive &&
            record.entry.peer == update.entry.peer && record.entry.caller == update.entry.caller;
 }
@@ -73,7 +73,7 @@
     const bool listing_changed = merge_listing(record, update);
     if (!is_new && order_of(update) <= order_of(record)) {
         const bool older = order_of(update) < order_of(record);
-        return listing_changed ? merge_result::news
+        return listing_changed ? merge_result::changed
                : older         ? merge_result::stale
                                : merge_result::unchanged;
     }
@@ -83,27 +83,27 @@
         record.entry = update.entry;
         record.entry.state = listed_state;
         record.known_since = confirms ? record.known_since : now;
-        record.told_self = 0;
+        record.acknowledged_self_version = 0;
     }
     record.incarnation = update.incarnation;
     record.refutation = update.refutation;
-    judge(record, update.health);
-    return confirms && !listing_changed ? merge_result::unchanged : merge_result::news;
+    set_health(record, update.health);
+    return confirms && !listing_changed ? merge_result::unchanged : merge_result::changed;
 }
 
 merge_result member_table::merge_self(const member_update& update) {
     const bool listing_changed = merge_listing(*self_, update);
     if (update.incarnation != self_->incarnation) {
-        // An earlier process of this id, or a later one that is about to replace this one.
+        // From an earlier process with this id, or from a later one that replaces this process.
         return update.incarnation < self_->incarnation ? merge_result::stale
                                                        : merge_result::unchanged;
     }
     if (order_of(update) <= order_of(*self_)) {
-        return listing_changed ? merge_result::news : merge_result::unchanged;
+        return listing_changed ? merge_result::changed : merge_result::unchanged;
     }
     self_->refutation = update.refutation + 1;
     ++self_version_;
-    return merge_result::itself;
+    return merge_result::refuted;
 }
 
 bool member_table::merge_listing(member_record& record, const member_update& update) {
@@ -118,7 +118,8 @@
     return changed;
 }
 
-merge_result member_table::hear(time_point now, const vm_id& vm, vm_incarnation incarnation) {
+merge_result member_table::observe_incarnation(time_point now, const vm_id& vm,
+                                               vm_incarnation incarnation) {
     auto* const record = find(vm);
     if (record == nullptr || incarnation < record->incarnation) {
         return merge_result::stale;
@@ -130,13 +131,13 @@
     record->incarnation = incarnation;
     record->refutation = 0;
     record->known_since = confirms ? record->known_since : now;
-    record->told_self = 0;
-    judge(*record, member_health::alive);
-    return confirms ? merge_result::unchanged : merge_result::news;
+    record->acknowledged_self_version = 0;
+    set_health(*record, member_health::alive);
+    return confirms ? merge_result::unchanged : merge_result::changed;
 }
 
-std::vector<vm_id> member_table::take_list(time_point now, const std::vector<vm_entry>& list,
-                                           std::uint64_t version, bool presume) {
+std::vector<vm_id> member_table::apply_list(time_point now, const std::vector<vm_entry>& list,
+                                            std::uint64_t version, bool presume) {
     std::vector<vm_id> changed;
     if (version < list_version_) {
         return changed;
@@ -148,7 +149,7 @@
         member_update update{entry, {}, 0, member_health::alive, version, true};
         auto* known = find(entry.vm);
         auto& record = known == nullptr ? add(now, update) : *known;
-        record.presumed = record.presumed || (presume && record.incarnation.value() == 0);
+        record.presumed_live = record.presumed_live || (presume && record.incarnation.value() == 0);
         if (merge_listing(record, update) || known == nullptr) {
             changed.push_back(entry.vm);
         }
@@ -166,7 +167,7 @@
     return changed;
 }
 
-void member_table::judge(member_record& record, member_health health) {
+void member_table::set_health(member_record& record, member_health health) {
     record.health = health;
     record.suspect_until = no_deadline;
     record.own_suspicion = false;
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -11,19 +11,19 @@
 
 constexpr const char* log_part = "membership";
 
-/// Longest time between two ticks; well below the pause gap, so that a late tick is told apart.
-constexpr duration longest_tick = std::chrono::milliseconds{250};
+/// Well below `pause_threshold`, so that a late tick is not taken for a pause.
+constexpr duration max_tick_interval = std::chrono::milliseconds{250};
 
-/// Interval of repeated pings to suspects, seeds and silent failure domains.
+/// Interval of pings to suspects, seeds and failure domains without recent contact.
 constexpr duration check_interval = std::chrono::milliseconds{400};
 
-/// Silence of the other failure domains after which they are pinged out of turn.
-constexpr duration foreign_silence = std::chrono::seconds{2};
+/// Time without a message from another failure domain after which one is pinged out of turn.
+constexpr duration other_domain_silence = std::chrono::seconds{2};
 
-/// Longest time that the acknowledgement of a relayed probe is passed on.
-constexpr duration relay_time = std::chrono::seconds{1};
+/// Time after which the acknowledgement of a relayed probe is no longer forwarded.
+constexpr duration relay_timeout = std::chrono::seconds{1};
 
-/// VMs that a departure is announced to at once; gossip reaches the others.
+/// Number of VMs that are told of a departure at once; gossip informs the others.
 constexpr std::size_t departure_receivers = 16;
 
 const char* text_of(member_health health) {
@@ -46,26 +46,27 @@
 }
 
 void membership::start(time_point now, actions& out) {
-    started_ = last_event_ = store_heard_ = foreign_heard_ = next_check_ = list_at_ = now;
+    started_ = last_event_ = store_answered_at_ = other_domain_heard_at_ = next_check_ =
+        list_due_at_ = now;
     next_probe_ = now;
     read_list(now, duration{0}, out);
 }
 
 bool membership::paused_since_last_event(time_point now) {
-    const bool paused = started_ && now - last_event_ > settings_.pause_gap;
+    const bool paused = started_ && now - last_event_ > settings_.pause_threshold;
     last_event_ = std::max(last_event_, now);
     if (paused) {
         probes_.clear();
         relays_.clear();
         for (const auto& vm : suspects_) {
-            table_.find(vm)->suspect_until = now + suspicion_time();
+            table_.find(vm)->suspect_until = now + scaled_suspicion_timeout();
         }
         next_probe_ = now;
     }
     return paused;
 }
 
-void membership::event(time_point now) {
+void membership::note_event(time_point now) {
     (void)paused_since_last_event(now);
 }
 
@@ -73,7 +74,7 @@
     if (!started_) {
         start(now, out);
     }
-    event(now);
+    note_event(now);
     check_probes(now, out);
     check_suspects(now, out);
     if (now >= next_probe_) {
@@ -84,8 +85,8 @@
     }
     if (now >= next_check_) {
         next_check_ = now + check_interval;
-        suspect_again(now, out);
-        seek_other_domains(now, out);
+        ping_suspects(now, out);
+        probe_other_domains(now, out);
         probe_seeds(out);
     }
     poll_list(now, out);
@@ -96,13 +97,14 @@
     if (!started_) {
         return time_point::min();
     }
-    auto due = std::min({last_event_ + longest_tick, next_probe_, next_gossip_, next_check_});
+    auto due = std::min({last_event_ + max_tick_interval, next_probe_, next_gossip_, next_check_});
     if (changed_) {
         due = std::min(due, refreshed_at_ + settings_.change_interval);
     }
     for (const auto& [sequence, probe] : probes_) {
-        const auto wait = probe.indirect_sent || !probe.raises_suspicion ? settings_.probe_timeout
-                                                                         : settings_.indirect_after;
+        const auto wait = probe.indirect_sent || !probe.raises_suspicion
+                              ? settings_.probe_timeout
+                              : settings_.indirect_probe_delay;
         due = std::min(due, probe.sent + wait);
     }
     for (const auto& vm : suspects_) {
@@ -111,11 +113,11 @@
     return due;
 }
 
-duration membership::suspicion_time() const {
+duration membership::scaled_suspicion_timeout() const {
     const auto size = static_cast<double>(live_.size() + 1);
     const auto factor = std::max(1.0, std::log10(size));
-    return duration{
-        static_cast<duration::rep>(factor * static_cast<double>(settings_.suspicion.count()))};
+    return duration{static_cast<duration::rep>(
+        factor * static_cast<double>(settings_.suspicion_timeout.count()))};
 }
 
 void membership::on_probe(time_point now, const vm_id& from, vm_incarnation from_incarnation,
@@ -126,24 +128,24 @@
     if (!started_) {
         start(now, out);
     }
-    event(now);
-    take_updates(now, probe.updates, out);
-    const auto heard = table_.hear(now, from, from_incarnation);
+    note_event(now);
+    apply_updates(now, probe.updates, out);
+    const auto observed = table_.observe_incarnation(now, from, from_incarnation);
     auto* const record = table_.find(from);
-    if (record == nullptr || heard == merge_result::stale) {
+    if (record == nullptr || observed == merge_result::stale) {
         refresh(now, out);
         return;
     }
-    if (heard == merge_result::news) {
+    if (observed == merge_result::changed) {
         changed_ = true;
-        spread(*record);
+        queue_update(*record);
     }
     record->configuration = probe.revision;
     if (record->entry.place.domain != settings_.self.place.domain) {
-        foreign_heard_ = now;
+        other_domain_heard_at_ = now;
     }
-    if (probe.store_age && now - *probe.store_age > store_heard_) {
-        store_heard_ = now - *probe.store_age;
+    if (probe.store_age && now - *probe.store_age > store_answered_at_) {
+        store_answered_at_ = now - *probe.store_age;
     }
     switch (probe.kind) {
     case probe_kind::ping:
@@ -187,9 +189,9 @@
         passed_on.kind = probe_kind::ack;
         passed_on.sequence = relay->second.sequence;
         passed_on.target = from;
-        const auto asker = relay->second.asker;
+        const auto requester = relay->second.requester;
         relays_.erase(relay);
-        send(last_event_, asker, std::move(passed_on), out);
+        send(last_event_, requester, std::move(passed_on), out);
         return;
     }
     const auto open = probes_.find(probe.sequence);
@@ -197,13 +199,13 @@
         return;
     }
     if (probe.target == from) {
-        table_.find(from)->told_self = open->second.told_self;
+        table_.find(from)->acknowledged_self_version = open->second.self_version;
     }
     probes_.erase(open);
 }
 
 void membership::on_disconnected(time_point now, const vm_id& vm, actions& out) {
-    event(now);
+    note_event(now);
     const auto* const record = table_.find(vm);
     if (record != nullptr && record->is_up() && vm != settings_.self.vm) {
         ping(now, vm, true, out);
@@ -211,11 +213,11 @@
 }
 
 void membership::leave(time_point now, actions& out) {
-    event(now);
+    note_event(now);
     table_.leave_self();
     changed_ = true;
-    log(out, log_part, log_level::info, "leaving, announced");
-    spread(table_.self());
+    log(out, log_part, log_level::info, "leaving the fleet, announcing it to other VMs");
+    queue_update(table_.self());
     const auto receivers = choose(departure_receivers, [](const member_record& record) {
         return record.health != member_health::dead;
     });
@@ -226,36 +228,36 @@
 }
 
 vm_id membership::next_target() {
-    while (!order_.empty()) {
-        auto vm = order_.back();
-        order_.pop_back();
+    while (!probe_order_.empty()) {
+        auto vm = probe_order_.back();
+        probe_order_.pop_back();
         const auto* const record = table_.find(vm);
         if (record != nullptr && record->is_up()) {
             return vm;
         }
     }
-    order_ =
+    probe_order_ =
         choose(table_.records().size(), [](const member_record& record) { return record.is_up(); });
-    if (order_.empty()) {
+    if (probe_order_.empty()) {
         return vm_id{};
     }
-    auto vm = order_.back();
-    order_.pop_back();
+    auto vm = probe_order_.back();
+    probe_order_.pop_back();
     return vm;
 }
 
 void membership::probe_next(time_point now, actions& out) {
-    const bool joining = now - *started_ < settings_.joining_for;
-    next_probe_ = now + (joining ? settings_.join_period : settings_.probe_period);
+    const bool joining = now - *started_ < settings_.join_duration;
+    next_probe_ = now + (joining ? settings_.join_probe_period : settings_.probe_period);
     std::erase_if(relays_,
-                  [now](const auto& relay) { return now - relay.second.sent > relay_time; });
+                  [now](const auto& relay) { return now - relay.second.sent > relay_timeout; });
     if (const auto target = next_target(); !target.empty()) {
         ping(now, target, true, out);
     }
     reprobe_dead(now, out);
 }
 
-/// Finds VMs again after a partition: nobody else may have them in his rotation.
+/// Pings one dead VM, because after a partition no other VM may be probing it.
 void membership::reprobe_dead(time_point now, actions& out) {
     const auto lost = choose(1, [](const member_record& record) {
         return record.health == member_health::dead && (record.listed || !record.was_listed);
@@ -271,20 +273,20 @@
     }
     for (const auto& seed : settings_.seeds) {
         if (seed != settings_.self.peer) {
-            membership_probe question;
-            question.revision = revision_;
-            question.updates = {table_.update_about(table_.self())};
-            out.emplace_back(send_to_peer{vm_id{}, seed, peer_channel::datagram, question});
+            membership_probe message;
+            message.revision = revision_;
+            message.updates = {table_.update_about(table_.self())};
+            out.emplace_back(send_to_peer{vm_id{}, seed, peer_channel::datagram, message});
         }
     }
 }
 
 void membership::ping(time_point now, const vm_id& target, bool raises_suspicion, actions& out) {
     probes_[++sequence_] = {target, now, false, raises_suspicion, table_.self_version()};
-    membership_probe question;
-    question.sequence = sequence_;
-    question.target = target;
-    send(now, target, std::move(question), out);
+    membership_probe message;
+    message.sequence = sequence_;
+    message.target = target;
+    send(now, target, std::move(message), out);
 }
 
 void membership::check_probes(time_point now, actions& out) {
@@ -298,10 +300,10 @@
             probe = probes_.erase(probe);
             continue;
         }
-        const bool due = now - open.sent >= settings_.indirect_after;
+        const bool due = now - open.sent >= settings_.indirect_probe_delay;
         if (due && open.raises_suspicion && !open.indirect_sent) {
             open.indirect_sent = true;
-            ask_others(open.target, sequence, out);
+            request_indirect_probes(open.target, sequence, out);
         }
         ++probe;
     }
@@ -310,7 +312,8 @@
     }
 }
 
-void membership::ask_others(const vm_id& target, std::uint64_t sequence, actions& out) {
+void membership::request_indirect_probes(const vm_id& target, std::uint64_t sequence,
+                                         actions& out) {
     const auto helpers = choose(settings_.indirect_probes, [&](const member_record& record) {
         return record.health == member_health::alive && record.is_up() && record.entry.vm != target;
     });
@@ -329,17 +332,17 @@
         return;
     }
     const bool announced = record->health == member_health::left;
-    table_.judge(*record, announced ? member_health::dead : member_health::suspect);
+    table_.set_health(*record, announced ? member_health::dead : member_health::suspect);
     changed_ = true;
     if (!announced) {
         record->own_suspicion = true;
-        record->suspect_until = now + suspicion_time();
+        record->suspect_until = now + scaled_suspicion_timeout();
         suspects_.insert(target);
         ping(now, target, false, out);
     }
     log(out, log_part, log_level::info,
         target.str() + " does not answer, now " + text_of(record->health));
-    spread(*record);
+    queue_update(*record);
 }
 
 void membership::check_suspects(time_point now, actions& out) {
@@ -350,10 +353,10 @@
             continue;
         }
         if (now >= record.suspect_until) {
-            table_.judge(record, member_health::dead);
+            table_.set_health(record, member_health::dead);
             log(out, log_part, log_level::warning, suspect->str() + " is dead");
             changed_ = true;
-            spread(record);
+            queue_update(record);
             suspect = suspects_.erase(suspect);
             continue;
         }
@@ -361,8 +364,8 @@
     }
 }
 
-/// Gives a suspect several chances to refute, should datagrams get lost.
-void membership::suspect_again(time_point now, actions& out) {
+/// Pings suspects repeatedly, so that they can refute even if datagrams are lost.
+void membership::ping_suspects(time_point now, actions& out) {
     for (const auto& vm : suspects_) {
         if (table_.find(vm)->own_suspicion) {
             ping(now, vm, false, out);
@@ -370,8 +373,8 @@
     }
 }
 
-void membership::seek_other_domains(time_point now, actions& out) {
-    if (now - foreign_heard_ < foreign_silence) {
+void membership::probe_other_domains(time_point now, actions& out) {
+    if (now - other_domain_heard_at_ < other_domain_silence) {
         return;
     }
     const auto foreign = choose(1, [this](const member_record& record) {
--- a/src/core/membership/membership_list.cpp
+++ b/src/core/membership/membership_list.cpp
@@ -7,27 +7,29 @@
 #include <array>
 
 /// @file
-/// @brief The platform's VM list and the contact to the store.
+/// @brief Reads the platform's VM list and tracks contact to the store.
 
 namespace jackdawvane {
 
 namespace {
 
-/// Task name under which the delegates of a failure domain are chosen.
+/// Rendezvous key by which the delegates of a failure domain are chosen.
 constexpr const char* delegate_task = "vm-list";
 
-/// Time past a long poll's wait after which it counts as failed.
+/// Time allowed for an answer in addition to the wait of a long poll.
 constexpr duration answer_grace = std::chrono::seconds{2};
 
-/// A long poll answered sooner than this without a newer list counts as failed.
-constexpr duration shortest_hold = std::chrono::seconds{1};
+/// A long poll that returns sooner than this without a newer list counts as failed.
+constexpr duration min_poll_duration = std::chrono::seconds{1};
 
-/// A list with fewer new VMs than this part of it is not read again; gossip brings the others.
+/// The list is read again if more than 1 / `reread_divisor` of its VMs changed; otherwise gossip
+/// delivers the rest.
 constexpr std::size_t reread_divisor = 20;
 
-/// Age of the last evidence of the store at which a VM asks it itself, by its rank among the
-/// delegates. The first delegate's answer reaches the others by their probes' store age before
-/// these ask, and all ask in time for an answer before the isolation time.
+/// Time since the last known answer of the store at which a VM queries it, by the VM's rank among
+/// the delegates. The answer to the first delegate reaches the others through the store age in
+/// probes before they query, and all query early enough to have an answer before
+/// `isolation_timeout`.
 constexpr std::array<duration, 3> evidence_ages{std::chrono::milliseconds{2000},
                                                 std::chrono::milliseconds{3000},
                                                 std::chrono::milliseconds{4200}};
@@ -42,19 +44,20 @@
     request.wait = wait;
     out.emplace_back(std::move(request));
     list_pending_ = true;
-    list_held_ = wait > duration{0};
-    list_sent_ = now;
-    list_at_ = now + wait + answer_grace;
+    list_long_poll_ = wait > duration{0};
+    list_sent_at_ = now;
+    list_due_at_ = now + wait + answer_grace;
 }
 
 void membership::list_failed(time_point now) {
     list_pending_ = false;
-    list_at_ = now + jittered(list_back_off_);
+    list_due_at_ = now + jittered(list_back_off_);
     list_back_off_ = std::min(2 * list_back_off_, settings_.retry_ceiling);
 }
 
-duration membership::jittered(duration longest) {
-    std::uniform_int_distribution<duration::rep> spread_over{longest.count() / 2, longest.count()};
+duration membership::jittered(duration max_delay) {
+    std::uniform_int_distribution<duration::rep> spread_over{max_delay.count() / 2,
+                                                             max_delay.count()};
     return duration{spread_over(random_)};
 }
 
@@ -67,21 +70,22 @@
 }
 
 bool membership::needs_store_evidence(time_point now) const {
-    const bool foreign_silent = now - foreign_heard_ >= settings_.isolation / 2;
+    const bool other_domains_silent =
+        now - other_domain_heard_at_ >= settings_.isolation_timeout / 2;
     const auto rank = std::min(delegate_rank_, evidence_ages.size() - 1);
-    return foreign_silent && now - store_heard_ >= evidence_ages.at(rank);
+    return other_domains_silent && now - store_answered_at_ >= evidence_ages.at(rank);
 }
 
 void membership::poll_list(time_point now, actions& out) {
-    if (list_pending_ && now >= list_at_) {
+    if (list_pending_ && now >= list_due_at_) {
         list_failed(now);
     }
-    if (list_pending_ && list_held_ && needs_store_evidence(now)) {
-        // The held call tells nothing for up to 30 s; a short one replaces it.
+    if (list_pending_ && list_long_poll_ && needs_store_evidence(now)) {
+        // The long poll may not return for up to 30 s; an immediate read replaces it.
         list_pending_ = false;
-        list_at_ = now;
+        list_due_at_ = now;
     }
-    if (list_pending_ || now < list_at_) {
+    if (list_pending_ || now < list_due_at_) {
         return;
     }
     if (!list_read_ || needs_store_evidence(now) || now >= list_reread_at_) {
@@ -90,8 +94,8 @@
         return;
     }
     if (delegate_rank_ < settings_.delegates_per_domain) {
-        list_reread_at_ = no_deadline; // The held call tells what changes.
-        read_list(now, settings_.list_wait, out);
+        list_reread_at_ = no_deadline; // The long poll reports changes.
+        read_list(now, settings_.list_poll_wait, out);
     }
 }
 
@@ -99,34 +103,34 @@
     if (!list_pending_ || answer.id != list_id_) {
         return false;
     }
-    event(now);
+    note_event(now);
     if (answer.status != store_status::ok) {
         list_failed(now);
         return true;
     }
     on_store_heard(now);
     list_pending_ = false;
-    list_at_ = now;
+    list_due_at_ = now;
     const bool newer = answer.version > list_version_ || !list_read_;
-    if (list_held_ && !newer && now - list_sent_ < shortest_hold) {
-        list_failed(now); // A lagging list; asking again at once would not end.
+    if (list_long_poll_ && !newer && now - list_sent_at_ < min_poll_duration) {
+        list_failed(now); // The list lags; an immediate retry would loop.
         return true;
     }
     list_back_off_ = settings_.retry_floor;
     if (newer && answer.version >= list_version_) {
-        // While this VM starts, it takes the listed VMs for live, and the others that start with
-        // it read the list themselves.
-        const bool joining = !list_read_ || now - *started_ < settings_.joining_for;
-        const auto changed = table_.take_list(now, answer.vms, answer.version, joining);
+        // While joining, this VM presumes listed VMs live and does not gossip the changes, because
+        // VMs that start at the same time read the list themselves.
+        const bool joining = !list_read_ || now - *started_ < settings_.join_duration;
+        const auto changed = table_.apply_list(now, answer.vms, answer.version, joining);
         for (const auto& vm : changed) {
             changed_ = true;
             if (!joining) {
-                spread(*table_.find(vm));
+                queue_update(*table_.find(vm));
             }
         }
         const bool again = joining && changed.size() * reread_divisor > answer.vms.size();
-        list_reread_at_ = again ? now + jittered(settings_.list_reread) : no_deadline;
-        list_at_ = list_read_ ? now + settings_.list_pause : now;
+        list_reread_at_ = again ? now + jittered(settings_.list_reread_delay) : no_deadline;
+        list_due_at_ = list_read_ ? now + settings_.list_poll_delay : now;
         list_version_ = answer.version;
         list_read_ = true;
     }
@@ -136,7 +140,7 @@
 }
 
 void membership::on_store_heard(time_point now) {
-    store_heard_ = std::max(store_heard_, now);
+    store_answered_at_ = std::max(store_answered_at_, now);
 }
 
 const vm_entry* membership::entry_of(const vm_id& vm) const {
@@ -159,8 +163,8 @@
 }
 
 bool membership::isolated(time_point now) const {
-    const bool store_silent = now - store_heard_ >= settings_.isolation;
-    return started_ && store_silent && now - foreign_heard_ >= settings_.isolation;
+    const bool store_silent = now - store_answered_at_ >= settings_.isolation_timeout;
+    return started_ && store_silent && now - other_domain_heard_at_ >= settings_.isolation_timeout;
 }
 
 } // namespace jackdawvane
--- a/src/core/membership/membership_news.cpp
+++ b/src/core/membership/membership_news.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 
 /// @file
-/// @brief How membership news is taken, queued and attached to datagrams.
+/// @brief Applies and queues membership updates and attaches them to datagrams.
 
 namespace jackdawvane {
 
@@ -20,23 +20,23 @@
 /// Room for the JSON-RPC frame: method, sender and incarnation.
 constexpr std::size_t frame_bytes = 200;
 
-/// Sends of one piece of news per VM, times the logarithm of the fleet's size.
+/// Each VM sends an update this many times the binary logarithm of the fleet's size.
 constexpr double sends_factor = 2;
 
-/// Time in which a new VM's datagrams are filled up with what it may not know yet.
-constexpr duration newcomer_time = std::chrono::seconds{20};
+/// Time for which datagrams to a new VM are filled with records that it may not know yet.
+constexpr duration new_vm_period = std::chrono::seconds{20};
 
 /// More records than fit into one datagram.
-constexpr std::size_t newcomer_records = 8;
+constexpr std::size_t new_vm_records = 8;
 
-/// Attaches updates to a probe as long as the datagram has room.
+/// Attaches updates to a probe while the datagram has room.
 class datagram_filler {
   public:
     datagram_filler(const member_table& table, membership_probe& probe)
         : table_{table}, probe_{probe}, room_{max_datagram_bytes - frame_bytes -
                                               write_json(to_json(probe)).size()} {}
 
-    /// Whether the datagram holds the news about @a record now.
+    /// @return whether the datagram contains an update about @a record
     bool attach(const member_record& record) {
         if (attached_.contains(record.entry.vm)) {
             return true;
@@ -66,40 +66,41 @@
     return static_cast<std::uint32_t>(std::ceil(sends_factor * std::log2(size)));
 }
 
-void membership::spread(member_record& record, std::uint32_t least) {
-    record.sends_left = std::max(record.sends_left, least == 0 ? send_limit() : least);
-    news_.insert(record.entry.vm);
+void membership::queue_update(member_record& record, std::uint32_t min_sends) {
+    record.sends_left = std::max(record.sends_left, min_sends == 0 ? send_limit() : min_sends);
+    queued_updates_.insert(record.entry.vm);
     next_gossip_ = std::min(next_gossip_, last_event_ + settings_.gossip_interval);
 }
 
-void membership::take_updates(time_point now, const std::vector<member_update>& updates,
-                              actions& out) {
+void membership::apply_updates(time_point now, const std::vector<member_update>& updates,
+                               actions& out) {
     for (const auto& update : updates) {
-        take_update(now, update, out);
+        apply_update(now, update, out);
     }
 }
 
-void membership::take_update(time_point now, const member_update& update, actions& out) {
+void membership::apply_update(time_point now, const member_update& update, actions& out) {
     const auto merged = table_.merge(now, update);
     auto& record = *table_.find(update.entry.vm);
     switch (merged) {
     case merge_result::unchanged:
         return;
     case merge_result::stale:
-        spread(record, 1);
+        queue_update(record, 1);
         return;
-    case merge_result::itself:
+    case merge_result::refuted:
         log(out, log_part, log_level::info,
-            "refuted that this VM is " + std::string{to_json(update.health).asString()});
-        spread(record);
+            "refuted an update that reports this VM as " +
+                std::string{to_json(update.health).asString()});
+        queue_update(record);
         return;
-    case merge_result::news:
+    case merge_result::changed:
         break;
     }
     changed_ = true;
-    spread(record);
+    queue_update(record);
     if (record.health == member_health::suspect) {
-        record.suspect_until = std::min(record.suspect_until, now + suspicion_time());
+        record.suspect_until = std::min(record.suspect_until, now + scaled_suspicion_timeout());
         suspects_.insert(update.entry.vm);
     }
 }
@@ -118,7 +119,7 @@
     refreshed_at_ = now;
     delegate_rank_ = find_delegate_rank();
     ++version_;
-    log(out, log_part, log_level::info, std::to_string(live_.size()) + " VMs count as live");
+    log(out, log_part, log_level::info, std::to_string(live_.size()) + " live VMs in the fleet");
 }
 
 void membership::send(time_point now, const vm_id& to, membership_probe probe, actions& out) {
@@ -127,34 +128,37 @@
         return;
     }
     probe.revision = revision_;
-    probe.store_age = now - store_heard_;
+    probe.store_age = now - store_answered_at_;
     attach_updates(now, *record, probe);
     out.emplace_back(
         send_to_peer{to, record->entry.peer, peer_channel::datagram, std::move(probe)});
 }
 
-/// A VM ignores datagrams of a VM that it does not know. Later, when the news must have arrived,
-/// only a VM that does not answer gets the introduction again.
-bool membership::introduces_itself(time_point now, const member_record& to) {
-    if (self_sent_ != table_.self_version()) {
-        self_sent_ = table_.self_version();
-        self_changed_ = now;
-    }
-    const bool recent = now - self_changed_ < newcomer_time || now - to.known_since < newcomer_time;
-    return to.health != member_health::alive || (recent && to.told_self != table_.self_version());
+/// Whether a datagram to @a to carries this VM's own record: VMs ignore datagrams from a VM that
+/// they do not know. After `new_vm_period` the record must have arrived, and only VMs that are not
+/// alive are sent it again.
+bool membership::must_attach_self(time_point now, const member_record& to) {
+    if (announced_self_version_ != table_.self_version()) {
+        announced_self_version_ = table_.self_version();
+        self_changed_at_ = now;
+    }
+    const bool recent =
+        now - self_changed_at_ < new_vm_period || now - to.known_since < new_vm_period;
+    return to.health != member_health::alive ||
+           (recent && to.acknowledged_self_version != table_.self_version());
 }
 
 void membership::attach_updates(time_point now, member_record& to, membership_probe& probe) {
     datagram_filler datagram{table_, probe};
     if (to.health != member_health::alive) {
-        datagram.attach(to); // Lets a suspect refute.
+        datagram.attach(to); // Lets a suspect refute the suspicion.
     }
-    if (introduces_itself(now, to)) {
+    if (must_attach_self(now, to)) {
         datagram.attach(table_.self());
     }
     std::vector<member_record*> waiting;
-    waiting.reserve(news_.size());
-    for (const auto& vm : news_) {
+    waiting.reserve(queued_updates_.size());
+    for (const auto& vm : queued_updates_) {
         waiting.push_back(table_.find(vm));
     }
     std::stable_sort(waiting.begin(), waiting.end(), [](const auto* left, const auto* right) {
@@ -165,17 +169,17 @@
             return;
         }
         if (--record->sends_left == 0) {
-            news_.erase(record->entry.vm);
+            queued_updates_.erase(record->entry.vm);
         }
     }
-    // One known record per datagram repairs lost news. A newcomer gets as many as fit, the dead
-    // first, because its first list does not tell them apart.
-    const bool newcomer = now - to.known_since < newcomer_time;
-    auto known = choose(newcomer ? newcomer_records : 1, [](const member_record& record) {
+    // One random record per datagram repairs lost updates. A new VM gets as many as fit, dead ones
+    // first, because the list that it started from does not show which VMs are dead.
+    const bool is_new_vm = now - to.known_since < new_vm_period;
+    auto known = choose(is_new_vm ? new_vm_records : 1, [](const member_record& record) {
         return record.incarnation.value() > 0 || record.listed;
     });
-    if (newcomer) {
-        const auto dead = choose(newcomer_records, [](const member_record& record) {
+    if (is_new_vm) {
+        const auto dead = choose(new_vm_records, [](const member_record& record) {
             return record.health == member_health::dead && record.listed;
         });
         known.insert(known.begin(), dead.begin(), dead.end());
@@ -188,7 +192,7 @@
 }
 
 void membership::gossip(time_point now, actions& out) {
-    if (news_.empty()) {
+    if (queued_updates_.empty()) {
         next_gossip_ = no_deadline;
         return;
     }
--- a/src/core/membership/placement.cpp
+++ b/src/core/membership/placement.cpp
@@ -109,7 +109,7 @@
                         [&](const vm_entry& vm) { return vm.place.region == region; });
 }
 std::vector<vm_id> share_holders(const share_group_id& group, std::span<const vm_entry* const> live,
-                                 std::size_t per_domain, std::size_t most) {
+                                 std::size_t per_domain, std::size_t max_holders) {
     std::vector<weighted_vm> ranked;
     ranked.reserve(live.size());
     for (const auto* vm : live) {
@@ -121,7 +121,7 @@
     std::map<failure_domain_id, std::size_t> chosen_in;
     std::vector<vm_id> holders;
     for (const auto& [weight, vm] : ranked) {
-        if (holders.size() < most && chosen_in[vm->place.domain] < per_domain) {
+        if (holders.size() < max_holders && chosen_in[vm->place.domain] < per_domain) {
             ++chosen_in[vm->place.domain];
             holders.push_back(vm->vm);
         }
--- a/tests/core/membership_fleet.hpp
+++ b/tests/core/membership_fleet.hpp
@@ -9,7 +9,7 @@
 
 namespace jackdawvane {
 
-/// Fleet of membership parts with a VM list, in virtual time. Seeds are fixed.
+/// Simulated fleet of membership instances with a VM list, in virtual time and with fixed seeds.
 class membership_fleet {
   public:
     struct node {
@@ -17,19 +17,19 @@
         vm_incarnation incarnation;
         random_engine random;
         id_sequence<request_id> ids;
-        std::unique_ptr<membership> part;
+        std::unique_ptr<membership> protocol;
         bool up{true};
         bool paused{false};
-        bool noticed_pause{false};
+        bool pause_detected{false};
         time_point due{time_point::max()};
-        std::vector<std::function<void(node&)>> held; ///< Arrived during a pause.
+        std::vector<std::function<void(node&)>> deferred; ///< Events that arrived during a pause.
         std::uint64_t messages{0};
         std::uint64_t bytes{0};
     };
 
     static constexpr duration near{std::chrono::microseconds{500}};
     static constexpr duration far{std::chrono::milliseconds{8}};
-    /// JSON-RPC frame of the daemon and headers of UDP and IP.
+    /// JSON-RPC frame of the daemon (100 bytes) plus UDP and IP headers (28 bytes).
     static constexpr std::size_t overhead = 100 + 28;
 
     time_point now{};
@@ -76,7 +76,7 @@
         settings.self = added->entry;
         settings.incarnation = added->incarnation;
         settings.seeds = std::move(seeds);
-        added->part = std::make_unique<membership>(settings, added->ids, added->random);
+        added->protocol = std::make_unique<membership>(settings, added->ids, added->random);
         nodes.push_back(std::move(added));
         auto& placed = *nodes.back();
         by_port_[placed.entry.peer] = &placed;
@@ -98,7 +98,7 @@
         now = end;
     }
 
-    /// Time until @a reached holds; @a limit when it does not.
+    /// Runs until @a reached holds or @a limit has passed; returns the time that it took.
     duration time_until(duration limit, const std::function<bool()>& reached,
                         duration step = std::chrono::milliseconds{20}) {
         const auto begin = now;
@@ -108,55 +108,56 @@
         return now - begin;
     }
 
-    /// Hands an event to a node that is up, or keeps it while the node is paused.
-    void feed(node& to, const std::function<void(node&)>& happening) {
+    /// Delivers an event to a node that is up, or defers it while the node is paused.
+    void deliver(node& to, const std::function<void(node&)>& handler) {
         if (to.paused) {
-            to.held.push_back(happening);
+            to.deferred.push_back(handler);
             return;
         }
         if (to.up) {
-            to.noticed_pause = to.part->paused_since_last_event(now) || to.noticed_pause;
-            happening(to);
-            carry_out(to);
+            to.pause_detected = to.protocol->paused_since_last_event(now) || to.pause_detected;
+            handler(to);
+            execute_actions(to);
         }
     }
-    void act(node& on, const std::function<void(membership&, actions&)>& call) {
-        feed(on, [this, call](node& n) { call(*n.part, out_); });
+    void invoke(node& on, const std::function<void(membership&, actions&)>& call) {
+        deliver(on, [this, call](node& n) { call(*n.protocol, out_); });
     }
     void resume(node& paused) {
         paused.paused = false;
-        feed(paused, [this](node& n) { n.part->tick(now, out_); });
-        for (const auto& late : std::exchange(paused.held, {})) {
-            feed(paused, late);
+        deliver(paused, [this](node& n) { n.protocol->tick(now, out_); });
+        for (const auto& late : std::exchange(paused.deferred, {})) {
+            deliver(paused, late);
         }
     }
 
-    /// State that node @a by gives node @a about; nothing when it is not live there.
+    /// State of node @a about in the view of node @a by; nothing if it is not live there.
     static std::optional<vm_state> view(const node& by, const vm_id& about) {
-        const auto& live = by.part->live();
+        const auto& live = by.protocol->live();
         const auto found = std::lower_bound(
             live.begin(), live.end(), about,
             [](const vm_entry& entry, const vm_id& wanted) { return entry.vm < wanted; });
         const bool present = found != live.end() && found->vm == about;
         return present ? std::optional{found->state} : std::nullopt;
     }
-    /// Whether all up nodes but @a about itself give it the state @a wanted.
+    /// Whether @a about has the state @a wanted in the view of all other nodes that are up.
     [[nodiscard]] bool all_view(const node& about, std::optional<vm_state> wanted) const {
         return std::all_of(nodes.begin(), nodes.end(), [&](const auto& n) {
             return !n->up || n.get() == &about || view(*n, about.entry.vm) == wanted;
         });
     }
-    /// Whether all up nodes count exactly the up nodes as live.
+    /// Whether each node that is up has as many live VMs in its view as there are nodes up.
     [[nodiscard]] bool settled() const {
         const auto up = static_cast<std::size_t>(
             std::count_if(nodes.begin(), nodes.end(), [](const auto& n) { return n->up; }));
-        return std::all_of(nodes.begin(), nodes.end(),
-                           [&](const auto& n) { return !n->up || n->part->live().size() == up; });
+        return std::all_of(nodes.begin(), nodes.end(), [&](const auto& n) {
+            return !n->up || n->protocol->live().size() == up;
+        });
     }
     void change_list(const std::function<void(std::vector<vm_entry>&)>& change) {
         change(list);
         ++list_version;
-        for (auto& answer : std::exchange(held_calls_, {})) {
+        for (auto& answer : std::exchange(long_polls_, {})) {
             answer();
         }
     }
@@ -173,11 +174,11 @@
             }
             n.due = time_point::max();
             if (n.up && !n.paused) {
-                feed(n, [this](node& ticked) { ticked.part->tick(now, out_); });
+                deliver(n, [this](node& ticked) { ticked.protocol->tick(now, out_); });
             }
         });
     }
-    void carry_out(node& n) {
+    void execute_actions(node& n) {
         for (auto& wanted : std::exchange(out_, {})) {
             if (auto* const sent = std::get_if<send_to_peer>(&wanted)) {
                 transmit(n, *sent);
@@ -187,7 +188,7 @@
                 suspicions += line->text.ends_with("now suspect") ? 1 : 0;
             }
         }
-        schedule(n, std::max(now, n.part->next_deadline()));
+        schedule(n, std::max(now, n.protocol->next_deadline()));
     }
     void transmit(node& from, const send_to_peer& sent) {
         const auto size = write_json(encode(sent.message)).size() + overhead;
@@ -204,8 +205,8 @@
         const auto latency = from.entry.place.region == to.entry.place.region ? near : far;
         queue_.emplace(now + latency,
                        [this, &to, probe, vm = from.entry.vm, incarnation = from.incarnation] {
-                           feed(to, [this, probe, vm, incarnation](node& n) {
-                               n.part->on_probe(now, vm, incarnation, probe, out_);
+                           deliver(to, [this, probe, vm, incarnation](node& n) {
+                               n.protocol->on_probe(now, vm, incarnation, probe, out_);
                            });
                        });
     }
@@ -217,12 +218,12 @@
                 reply = {request.id, store_status::unavailable, "", 0, {}};
             }
             queue_.emplace(now + near, [this, &n, reply] {
-                feed(n, [this, reply](node& at) { at.part->on_store(now, reply, out_); });
+                deliver(n, [this, reply](node& at) { at.protocol->on_store(now, reply, out_); });
             });
         };
         if (request.wait > duration{0} && request.version >= list_version && store_reached(n)) {
             queue_.emplace(now + request.wait, answer);
-            held_calls_.push_back(answer);
+            long_polls_.push_back(answer);
             return;
         }
         queue_.emplace(now + near, answer);
@@ -232,7 +233,7 @@
     std::uint64_t seed_;
     random_engine random_;
     std::multimap<time_point, std::function<void()>> queue_;
-    std::vector<std::function<void()>> held_calls_;
+    std::vector<std::function<void()>> long_polls_;
     std::map<endpoint, node*> by_port_;
     actions out_;
 };
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -21,7 +21,7 @@
 
 class Changes : public testing::TestWithParam<change_case> {};
 
-/// Guards against a VM that keeps a wrong view of another one after a change.
+/// Guards against a VM that keeps an outdated view of another one after a change.
 TEST_P(Changes, AreKnownEverywhereInTime) {
     membership_fleet fleet{size, GetParam().domains, seed};
     fleet.run(seconds{10});
@@ -30,7 +30,7 @@
     fleet.time_until(GetParam().limit, [&] { return GetParam().reached(fleet); });
     EXPECT_TRUE(GetParam().reached(fleet)) << "seed " << seed;
     fleet.run(seconds{5});
-    EXPECT_TRUE(GetParam().reached(fleet)) << "did not last, seed " << seed;
+    EXPECT_TRUE(GetParam().reached(fleet)) << "reached but lost again within 5 s, seed " << seed;
     EXPECT_LT(fleet.largest_datagram - 28, 1200U);
 }
 
@@ -41,7 +41,7 @@
 }
 bool gone_everywhere(const membership_fleet& fleet, std::size_t expected) {
     return std::all_of(fleet.nodes.begin(), fleet.nodes.end(), [&](const auto& node) {
-        return !node->up || node->part->gone().size() == expected;
+        return !node->up || node->protocol->gone().size() == expected;
     });
 }
 void kill(membership_fleet& fleet) {
@@ -65,8 +65,8 @@
     const auto& fresh = *fleet.nodes.back();
     return fleet.settled() && std::all_of(fleet.nodes.begin(), fleet.nodes.end(), [&](auto& node) {
                return !node->up ||
-                      (node->part->incarnation_of(fresh.entry.vm) == vm_incarnation{2} &&
-                       node->part->entry_of(fresh.entry.vm)->peer == fresh.entry.peer);
+                      (node->protocol->incarnation_of(fresh.entry.vm) == vm_incarnation{2} &&
+                       node->protocol->entry_of(fresh.entry.vm)->peer == fresh.entry.peer);
            });
 }
 void add_unlisted(membership_fleet& fleet) {
@@ -84,7 +84,7 @@
     fleet.change_list([](auto& list) { list[4].state = vm_state::leaving; });
 }
 void announce_leaving(membership_fleet& fleet) {
-    fleet.act(fleet.of(4), [&](auto& part, auto& out) { part.leave(fleet.now, out); });
+    fleet.invoke(fleet.of(4), [&](auto& protocol, auto& out) { protocol.leave(fleet.now, out); });
 }
 bool leaving(const membership_fleet& fleet) {
     const auto& about = *fleet.nodes[4];
@@ -117,7 +117,7 @@
         change_case{"starts_without_the_store", start_without_store, settled, seconds{4}}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against suspicions of a VM that only one other VM cannot reach.
+/// Guards against suspecting a VM that only one other VM cannot reach.
 TEST(Membership, IndirectProbesAvoidSuspicion) {
     membership_fleet fleet{size, domains, seed};
     fleet.run(seconds{10});
@@ -130,7 +130,8 @@
     EXPECT_TRUE(fleet.settled());
 }
 
-/// Guards against live VMs that are taken for dead on a lossy network, or for good.
+/// Guards against live VMs that are declared dead on a lossy network, and against VMs that stay
+/// declared dead after the loss ends.
 TEST(Membership, FalseSuspicionsAreRefuted) {
     membership_fleet fleet{size, domains, seed};
     fleet.run(seconds{10});
@@ -148,7 +149,8 @@
 
 class Partition : public testing::TestWithParam<std::size_t> {};
 
-/// Guards against a fleet that stays split after a partition, and against a wrong isolation.
+/// Guards against a fleet that stays split after a partition heals, and against isolation that is
+/// reported on the wrong side of it.
 TEST_P(Partition, IsNoticedAndHeals) {
     membership_fleet fleet{size, GetParam(), seed};
     fleet.run(seconds{10});
@@ -159,12 +161,12 @@
     fleet.store_reached = [=](const auto& node) { return !inside(node); };
     fleet.run(seconds{8});
     for (const auto& node : fleet.nodes) {
-        EXPECT_EQ(node->part->isolated(fleet.now), inside(*node)) << node->entry.vm;
+        EXPECT_EQ(node->protocol->isolated(fleet.now), inside(*node)) << node->entry.vm;
     }
     fleet.run(seconds{12});
     for (const auto& node : fleet.nodes) {
-        EXPECT_EQ(node->part->live().size(), inside(*node) ? 3U : 6U) << node->entry.vm;
-        EXPECT_TRUE(node->part->gone().empty());
+        EXPECT_EQ(node->protocol->live().size(), inside(*node) ? 3U : 6U) << node->entry.vm;
+        EXPECT_TRUE(node->protocol->gone().empty());
     }
     fleet.cut = [](auto&, auto&) { return false; };
     fleet.store_reached = [](auto&) { return true; };
@@ -172,7 +174,7 @@
     EXPECT_TRUE(fleet.settled()) << "seed " << seed;
     fleet.run(seconds{1});
     for (const auto& node : fleet.nodes) {
-        EXPECT_FALSE(node->part->isolated(fleet.now)) << node->entry.vm;
+        EXPECT_FALSE(node->protocol->isolated(fleet.now)) << node->entry.vm;
     }
 }
 
@@ -180,30 +182,31 @@
     return "domains_" + std::to_string(tested.param);
 });
 
-/// Guards against a resumed VM that trusts its old view or accuses the others of its own pause.
+/// Guards against a resumed VM that does not notice its pause, or that suspects other VMs because
+/// it could not receive their answers while it was paused.
 TEST(Membership, PausedVmNoticesAndReturns) {
     membership_fleet fleet{size, domains, seed};
     fleet.run(seconds{10});
     auto& paused = fleet.of(4);
-    EXPECT_FALSE(paused.noticed_pause);
+    EXPECT_FALSE(paused.pause_detected);
     const auto sent = paused.messages;
     fleet.time_until(
         seconds{2}, [&] { return paused.messages > sent; }, std::chrono::microseconds{100});
-    paused.paused = true; // Its probe is under way and cannot be answered in time.
+    paused.paused = true; // Its probe is in flight; the answer arrives after its timeout.
     fleet.run(seconds{8});
     EXPECT_TRUE(fleet.all_view(paused, std::nullopt)) << "seed " << seed;
     const auto suspicions = fleet.suspicions;
     fleet.resume(paused);
-    EXPECT_TRUE(paused.noticed_pause);
+    EXPECT_TRUE(paused.pause_detected);
     for (int i = 0; i < 30; ++i) {
         fleet.run(milliseconds{100});
-        EXPECT_EQ(paused.part->live().size(), size) << "after " << i << " steps, seed " << seed;
+        EXPECT_EQ(paused.protocol->live().size(), size) << "after " << i << " steps, seed " << seed;
     }
     EXPECT_EQ(fleet.suspicions, suspicions) << "seed " << seed;
     EXPECT_TRUE(fleet.settled()) << "seed " << seed;
 }
 
-/// Guards against a lagging list that revives a removed VM.
+/// Guards against an older list that makes a removed VM count as listed again.
 TEST(Membership, OlderListIsIgnored) {
     membership_fleet fleet{size, domains, seed};
     fleet.run(seconds{10});
@@ -217,7 +220,7 @@
     fleet.run(seconds{40});
     EXPECT_TRUE(fleet.settled());
     EXPECT_TRUE(std::all_of(fleet.nodes.begin(), fleet.nodes.begin() + size, [](auto& node) {
-        return !node->up || node->part->gone().size() == 1;
+        return !node->up || node->protocol->gone().size() == 1;
     }));
 }
 
@@ -229,7 +232,8 @@
 
 class StoreCalls : public testing::TestWithParam<call_case> {};
 
-/// Guards against store calls above the fleet's budget, and against isolation on a quiet fleet.
+/// Guards against more store requests than the fleet's budget allows, and against VMs that count
+/// as isolated in a healthy fleet.
 TEST_P(StoreCalls, StayFewAndNobodyIsIsolated) {
     membership_fleet fleet{size, GetParam().domains, seed};
     fleet.run(seconds{10});
@@ -237,7 +241,7 @@
     for (int i = 0; i < 120; ++i) {
         fleet.run(seconds{1});
         for (const auto& node : fleet.nodes) {
-            EXPECT_FALSE(node->part->isolated(fleet.now)) << node->entry.vm << " at " << i;
+            EXPECT_FALSE(node->protocol->isolated(fleet.now)) << node->entry.vm << " at " << i;
         }
     }
     EXPECT_LE(static_cast<double>(fleet.store_calls) / 120, GetParam().calls_per_second);
