--- a/include/jackdawvane/routing/request_executor.hpp
+++ b/include/jackdawvane/routing/request_executor.hpp
@@ -22,7 +22,7 @@
 
 namespace jackdawvane {
 
-/// @brief What the executor needs to know to order backend servers for one attempt.
+/// @brief Input for choosing the backend servers of one request.
 struct routing_query {
     const pool_row& pool;
     group_id group;
@@ -30,7 +30,7 @@
     std::string partition;
 };
 
-/// @brief What a request executor needs from the rest of its node.
+/// @brief Services that the node provides to its request executor.
 class request_services {
   public:
     request_services() = default;
@@ -38,66 +38,69 @@
     request_services& operator=(const request_services&) = delete;
     virtual ~request_services() = default;
 
-    /// @brief Configuration in force; null before the first one arrived.
+    /// @brief Configuration in force; null until the first one has arrived.
     [[nodiscard]] virtual const configuration_document* configuration() const = 0;
-    /// @brief Organisation of a caller's key.
+    /// @brief Organisation that a caller's API key belongs to.
     [[nodiscard]] virtual result<organisation_id> authenticate(const std::string& key) const = 0;
-    /// @brief Whether this failure domain is cut off from the store and all other domains.
+    /// @brief Whether this VM has contact neither to the store nor to another failure domain.
     [[nodiscard]] virtual bool isolated(time_point now) const = 0;
-    /// @brief Takes a token of the organisation's rate; a pending verdict is followed by @ref
-    /// request_executor::on_admission.
+    /// @brief Requests a token of the organisation's rate limit. A pending verdict is followed by a
+    /// call of @ref request_executor::on_admission.
     [[nodiscard]] virtual admission admit(time_point now, caller_id caller,
                                           const organisation_id& organisation, time_point deadline,
                                           actions& out) = 0;
-    /// @brief Backend servers to try, in order.
+    /// @brief Backend servers to try, in order of preference.
     [[nodiscard]] virtual std::vector<backend_server_id> plan(time_point now,
                                                               const routing_query& query) = 0;
-    /// @brief Notes that a backend server could not serve, so that others are preferred.
+    /// @brief Records that a backend server could not serve a read, so that others are preferred.
     virtual void avoid(time_point now, const backend_server_id& backend,
-                       routing_trouble trouble) = 0;
+                       routing_trouble failure) = 0;
     /// @brief Group of a pool that holds @a partition.
     [[nodiscard]] virtual group_id choose_group(const pool_row& pool,
                                                 const std::string& partition) const = 0;
-    /// @brief Sends a request to the owner of its backend server, or to @a owner when given.
-    /// @return the VM that it went to, or nothing when there is none
+    /// @brief Sends a request to the owner of its backend server, or to @a owner if not null.
+    /// @return the VM that it was sent to, or nothing if there is none
     virtual std::optional<vm_id> forward(time_point now, const forward_request& request,
                                          const vm_id* owner, actions& out) = 0;
-    /// @brief Takes over what an owner knows about a group.
+    /// @brief Updates this VM's view of a group from an owner's summary.
     virtual void learn(const group_summary& summary) = 0;
 };
 
 /// @brief Settings of a request executor.
 struct request_executor_settings {
-    duration retry_delay{from_milliseconds(15)};     ///< Between attempts during a failover.
-    duration failover_wait{std::chrono::seconds{2}}; ///< Longest search for a primary.
-    duration reply_margin{from_milliseconds(25)};    ///< Time left for the owner's answer.
+    duration retry_delay{from_milliseconds(15)}; ///< Delay between attempts during a failover.
+    duration failover_wait{
+        std::chrono::seconds{2}}; ///< Time after arrival in which attempts are retried.
+    duration reply_margin{from_milliseconds(25)}; ///< Reserved for the return of the answer.
     duration default_retry_after{from_milliseconds(200)};
 };
 
-/// @brief Runs callers' requests at the entry VM.
+/// @brief Executes callers' requests at the entry VM.
 ///
-/// A request passes the filters, then the rate limit, then is forwarded to the owner of a backend
-/// server. Every attempt has its own id, so answers of earlier attempts are dropped. A write is
-/// sent again only after an answer that says that it did not run; a read also after silence.
+/// A request passes the filters, then the rate limit, and is then forwarded to the owner of a
+/// backend server. Every attempt has its own id, so answers to earlier attempts are dropped. A
+/// write is retried only if an answer says that it did not run; a read is also retried if there is
+/// no answer.
 class request_executor {
   public:
     request_executor(request_services& services, id_sequence<request_id>& ids,
                      request_executor_settings settings = {});
 
-    /// @brief Takes a caller's request. Every request gets exactly one answer.
+    /// @brief Starts a caller's request. Each request gets exactly one answer, unless its caller
+    /// disconnects.
     void on_caller(time_point now, caller_request request, actions& out);
-    /// @brief The caller no longer waits; its request is forgotten, a write may still run.
+    /// @brief Drops the request of a caller that no longer waits. A forwarded write may still run.
     void on_caller_gone(caller_id caller);
-    /// @brief Final verdict on a request whose admission was pending.
+    /// @brief Handles the final verdict on a request whose admission was pending.
     void on_admission(time_point now, caller_id caller, const admission& verdict, actions& out);
-    /// @brief An owner's answer.
+    /// @brief Handles an owner's answer.
     void on_reply(time_point now, const forward_reply& reply, actions& out);
-    /// @brief Requests that went to @a vm may be lost.
+    /// @brief Ends all attempts at @a vm, whose requests may be lost.
     void on_vm_lost(time_point now, const vm_id& vm, actions& out);
 
-    /// @brief Refuses new requests from now on.
+    /// @brief Refuses new single requests and transactions from now on.
     void leave() noexcept { leaving_ = true; }
-    /// @brief Requests without an answer yet.
+    /// @brief Number of requests in flight.
     [[nodiscard]] std::size_t pending() const noexcept { return requests_.size(); }
 
     void tick(time_point now, actions& out);
@@ -109,18 +112,18 @@
     struct pending_request {
         caller_request request;
         organisation_id organisation;
-        route_row route;                          ///< As it was when the request arrived.
-        std::optional<transaction_handle> pinned; ///< Set for follow-ups of a transaction.
+        route_row route;                          ///< Route settings when the request arrived.
+        std::optional<transaction_handle> pinned; ///< Set for requests in an open transaction.
         group_id group;
         std::vector<session_position> session;
         std::vector<backend_server_id> targets;
         std::size_t next_target{0};
-        std::uint32_t replans{0}; ///< New plans since the last delay.
+        std::uint32_t replans{0}; ///< New plans since the last retry delay.
         phase state{phase::admission};
         time_point received;
         time_point deadline;
         time_point attempt_deadline;
-        time_point wake;
+        time_point timer_due;
         request_id attempt;
         vm_id attempt_vm;
         bool may_have_run{false}; ///< An attempt of a read ended without an answer.
@@ -152,11 +155,11 @@
     void retry_later(time_point now, pending_request& r, actions& out);
     void attempt_failed(time_point now, pending_request& r, outcome result, const error& problem,
                         const group_summary* summary, actions& out);
-    void attempt_silent(time_point now, pending_request& r, actions& out);
+    void attempt_unanswered(time_point now, pending_request& r, actions& out);
     void finish(pending_request& r, const forward_reply& reply, actions& out);
     void refuse(pending_request& r, outcome result, error problem, actions& out);
     void forget(caller_id caller);
-    void set_wake(pending_request& r, time_point when);
+    void set_timer(pending_request& r, time_point when);
     void end_attempt(pending_request& r);
     void expire(time_point now, pending_request& r, actions& out);
 
--- a/src/core/routing/request_executor.cpp
+++ b/src/core/routing/request_executor.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// New plans without a delay. Owners on this VM answer at once, so two of them that name different
-/// primaries would otherwise keep a request going round without time passing.
+/// Limit of new plans without a retry delay. Owners on this VM answer at once, so two of them that
+/// report different primaries would otherwise redirect a request forever without time passing.
 constexpr std::uint32_t max_replans = 2;
 
-/// Problems of one attempt after which another backend server or a later attempt may succeed.
+/// Errors of an attempt after which another backend server or a later attempt may succeed.
 constexpr std::array retryable_kinds{
     error_kind::replica_behind,  error_kind::staleness_unproved,
     error_kind::wrong_owner,     error_kind::no_primary,
@@ -35,7 +35,7 @@
     return std::to_string(digest.high64) + "-" + std::to_string(digest.low64);
 }
 
-/// Keeps the names of organisations apart in the request table.
+/// Prefixes the request name, so that equal names of two organisations do not collide.
 request_name scoped_name(const organisation_id& organisation, const request_name& name) {
     return name.empty() ? name : request_name{organisation.str() + ":" + name.str()};
 }
@@ -65,7 +65,7 @@
 }
 
 void request_executor::admit(time_point now, pending_request& r, actions& out) {
-    // Ending a transaction frees a connection, so it is never held back by the rate limit.
+    // Ending a transaction frees a connection, so it is exempt from the rate limit.
     const bool ends_transaction =
         r.request.kind == request_kind::commit || r.request.kind == request_kind::rollback;
     if (r.organisation.empty() || ends_transaction) {
@@ -74,7 +74,7 @@
         return;
     }
     const auto caller = r.request.caller;
-    set_wake(r, r.deadline);
+    set_timer(r, r.deadline);
     const auto verdict = services_.admit(now, caller, r.organisation, r.deadline, out);
     if (verdict.state != admission_state::pending) {
         on_admission(now, caller, verdict, out);
@@ -117,10 +117,13 @@
         }
     }
     if (r.pinned) {
-        // An earlier commit of the same transaction may have run at the VM that is gone.
+        // An earlier commit of the same transaction may have run at the VM that was lost.
         const bool may_have_run = r.request.kind == request_kind::commit;
         refuse(r, may_have_run ? outcome::unknown : outcome::not_run,
-               error{error_kind::unknown_transaction, "its VM is gone", {}}, out);
+               error{error_kind::unknown_transaction,
+                     "the VM that held the transaction is no longer live",
+                     {}},
+               out);
         return;
     }
     retry_later(now, r, out);
@@ -140,13 +143,13 @@
     r.attempt_deadline = r.deadline;
     const bool more_targets = r.next_target < r.targets.size();
     if (r.request.mode == access_mode::read && !r.pinned && more_targets) {
-        // A silent owner must leave time for another backend server.
+        // If the owner does not answer, there must be time left for another backend server.
         r.attempt_deadline = now + (r.deadline - now) / 3;
     }
-    set_wake(r, r.attempt_deadline);
+    set_timer(r, r.attempt_deadline);
     log(out, "router", log_level::info,
-        std::string{to_json(r.request.mode).asString()} + " of group " + r.group.str() + " to " +
-            backend.str() + " via " + vm->str());
+        std::string{to_json(r.request.mode).asString()} + " forwarded for group " + r.group.str() +
+            " to " + backend.str() + " via " + vm->str());
     return true;
 }
 
@@ -173,7 +176,8 @@
     }
     request.max_staleness = r.request.max_staleness;
     const auto remaining = r.deadline - now;
-    // The owner's answer at its deadline tells exactly whether the request ran.
+    // The owner's deadline is earlier, so that its answer, which says whether the request ran,
+    // arrives before this VM's deadline.
     request.remaining = remaining - std::min(settings_.reply_margin, remaining / 4);
     request.fencing = r.route.fencing;
     const auto& organisations = services_.configuration()->organisations;
@@ -184,14 +188,14 @@
 }
 
 void request_executor::retry_later(time_point now, pending_request& r, actions& out) {
-    const auto give_up = std::min(r.received + settings_.failover_wait, r.deadline);
+    const auto retry_until = std::min(r.received + settings_.failover_wait, r.deadline);
     const auto retry_at = now + settings_.retry_delay;
-    if (!is_retryable(r.last_problem.kind) || retry_at >= give_up) {
+    if (!is_retryable(r.last_problem.kind) || retry_at >= retry_until) {
         refuse(r, r.may_have_run ? outcome::unknown : outcome::not_run, r.last_problem, out);
         return;
     }
     r.state = phase::retry;
-    set_wake(r, retry_at);
+    set_timer(r, retry_at);
 }
 
 void request_executor::on_reply(time_point now, const forward_reply& reply, actions& out) {
@@ -200,7 +204,7 @@
     }
     const auto attempt = attempts_.find(reply.id);
     if (attempt == attempts_.end()) {
-        return; // The answer of an earlier attempt, or its caller is gone.
+        return; // For an earlier attempt, or its caller has disconnected.
     }
     auto& r = requests_.at(attempt->second);
     if (reply.result == outcome::done) {
@@ -222,7 +226,7 @@
         return;
     }
     log(out, "router", log_level::info,
-        "next backend server for group " + r.group.str() + ": " +
+        "attempt failed, trying the next backend server for group " + r.group.str() + ": " +
             std::string{to_string(problem.kind)});
     const auto& tried = r.targets[r.next_target - 1];
     if (r.request.mode == access_mode::read) {
@@ -238,7 +242,7 @@
     try_next(now, r, out);
 }
 
-void request_executor::attempt_silent(time_point now, pending_request& r, actions& out) {
+void request_executor::attempt_unanswered(time_point now, pending_request& r, actions& out) {
     attempt_failed(now, r, outcome::unknown,
                    error{error_kind::connection_lost, "no answer from " + r.attempt_vm.str(), {}},
                    nullptr, out);
@@ -298,7 +302,7 @@
         return;
     }
     end_attempt(found->second);
-    timers_.erase({found->second.wake, caller});
+    timers_.erase({found->second.timer_due, caller});
     requests_.erase(found);
 }
 
@@ -314,13 +318,13 @@
         }
     }
     for (const auto caller : affected) {
-        attempt_silent(now, requests_.at(caller), out);
+        attempt_unanswered(now, requests_.at(caller), out);
     }
 }
 
-void request_executor::set_wake(pending_request& r, time_point when) {
-    timers_.erase({r.wake, r.request.caller});
-    r.wake = when;
+void request_executor::set_timer(pending_request& r, time_point when) {
+    timers_.erase({r.timer_due, r.request.caller});
+    r.timer_due = when;
     timers_.emplace(when, r.request.caller);
 }
 
@@ -332,7 +336,7 @@
         return;
     case phase::attempt:
         if (now < r.deadline) {
-            attempt_silent(now, r, out);
+            attempt_unanswered(now, r, out);
         } else {
             refuse(r, outcome::unknown, problem, out);
         }
--- a/src/core/routing/request_filters.cpp
+++ b/src/core/routing/request_filters.cpp
@@ -23,7 +23,8 @@
 
 std::optional<error> request_executor::check_accepting(time_point /*now*/,
                                                        pending_request& r) const {
-    // An open transaction is pinned to this fleet's VMs and may finish during a shutdown.
+    // An open transaction is pinned to the VM of its connection and may finish while this VM shuts
+    // down.
     const bool opens_work =
         r.request.kind == request_kind::single || r.request.kind == request_kind::begin;
     if (leaving_ && opens_work) {
@@ -83,7 +84,7 @@
         return error{error_kind::missing_key, {}, {}};
     }
     auto organisation = services_.authenticate(r.request.key);
-    // The key is not needed any more and must not reach a peer, a backend server or a log.
+    // The key is no longer needed and must not reach a peer, a backend server or a log.
     r.request.key.clear();
     if (!organisation) {
         return organisation.error();
@@ -124,10 +125,10 @@
 }
 
 std::optional<error> request_executor::set_deadline(time_point now, pending_request& r) const {
-    const auto longest = from_milliseconds(r.route.deadline_ms);
-    const auto timeout = std::min(r.request.timeout.value_or(longest), longest);
+    const auto max_timeout = from_milliseconds(r.route.deadline_ms);
+    const auto timeout = std::min(r.request.timeout.value_or(max_timeout), max_timeout);
     if (timeout <= duration{0}) {
-        return error{error_kind::deadline_exceeded, "the deadline has passed already", {}};
+        return error{error_kind::deadline_exceeded, "the deadline has already passed", {}};
     }
     r.received = now;
     r.deadline = now + timeout;
--- a/src/core/routing/router.cpp
+++ b/src/core/routing/router.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Classes of backend servers, the most preferred first.
+/// Proximity of a backend server, the most preferred first.
 enum class proximity : std::uint8_t { same_domain, same_region, elsewhere };
 
 proximity proximity_of(const location& self, const location& other) noexcept {
@@ -23,13 +23,14 @@
 
 } // namespace
 
-/// Sort key; members in order of importance, lower values first.
+/// Sort key; the members are compared in this order, lower values first.
 struct router::preference {
     bool unreachable{false};
     bool is_primary{false}; ///< Always false for writes.
     bool behind{false};
     proximity distance{proximity::same_domain};
-    std::uint32_t load{0}; ///< In units of the slots, so that single requests do not scatter keys.
+    /// Requests in flight divided by the slots, so that a few requests do not scatter the keys.
+    std::uint32_t load{0};
     std::uint64_t inverse_weight{0};
     backend_server_id backend;
 
@@ -71,10 +72,10 @@
     return backends;
 }
 
-void router::avoid(const backend_server_id& backend, routing_trouble trouble, time_point now) {
+void router::avoid(const backend_server_id& backend, routing_trouble failure, time_point now) {
     std::erase_if(avoided_, [now](const auto& entry) { return entry.second.until <= now; });
-    const bool unreachable = trouble == routing_trouble::unreachable;
-    avoided_[backend] = {trouble, now + (unreachable ? unreachable_memory : behind_memory)};
+    const bool unreachable = failure == routing_trouble::unreachable;
+    avoided_[backend] = {failure, now + (unreachable ? unreachable_memory : behind_cooldown)};
 }
 
 void router::served(const backend_server_id& backend) {
@@ -99,10 +100,10 @@
     return found;
 }
 
-bool router::is_avoided(const backend_server_id& backend, routing_trouble trouble,
+bool router::is_avoided(const backend_server_id& backend, routing_trouble failure,
                         time_point now) const {
     const auto found = avoided_.find(backend);
-    return found != avoided_.end() && found->second.trouble == trouble && now < found->second.until;
+    return found != avoided_.end() && found->second.failure == failure && now < found->second.until;
 }
 
 } // namespace jackdawvane
--- a/tests/core/request_executor_test.cpp
+++ b/tests/core/request_executor_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr time_point start{std::chrono::seconds{10}};
 
-/// Node around the executor: two owners, one key, and a record of what was forwarded.
+/// Fake node with two owners and one key; records the forwarded requests.
 class fake_services : public request_services {
   public:
     fake_services() {
@@ -108,7 +108,7 @@
         executor_.on_reply(now, answer, out_);
     }
 
-    /// The only answer so far; fails when there are none or several.
+    /// The only answer so far; fails the test if there is none or more than one.
     caller_answer only_answer() {
         std::vector<caller_answer> answers;
         for (const auto& entry : out_) {
@@ -140,8 +140,8 @@
 
 class Refusal : public RequestExecutor, public testing::WithParamInterface<refusal_case> {};
 
-/// Guards against a request that runs although it must be refused, and against a refusal that
-/// says "not run" after the request was forwarded.
+/// Guards against running a request that must be refused, and against reporting "not run" after the
+/// request was forwarded.
 TEST_P(Refusal, IsNotRunAndNotForwarded) {
     auto request = order();
     GetParam().change(services_, request);
@@ -206,7 +206,7 @@
                      error_kind::unknown_transaction}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a caller's key that travels beyond the entry VM.
+/// Guards against forwarding a caller's key to other VMs.
 TEST_F(RequestExecutor, ForwardsNoKey) {
     executor_.on_caller(start, order(), out_);
     ASSERT_EQ(services_.forwarded.size(), 1U);
@@ -214,7 +214,7 @@
     EXPECT_EQ(services_.forwarded[0].organisation, organisation_id{"bar"});
 }
 
-/// Guards against a write that is sent again after it may have run.
+/// Guards against retrying a write that may have run.
 TEST_F(RequestExecutor, WriteWithUnknownOutcomeIsNotSentAgain) {
     executor_.on_caller(start, order(), out_);
     reply(start, outcome::unknown, error_kind::connection_lost);
@@ -223,7 +223,7 @@
     EXPECT_EQ(services_.forwarded.size(), 1U);
 }
 
-/// Guards against a lost owner VM whose write is reported as not run or sent again.
+/// Guards against reporting a write as not run, or retrying it, after its owner VM was lost.
 TEST_F(RequestExecutor, WriteAtALostVmIsUnknownAtOnce) {
     executor_.on_caller(start, order(), out_);
     executor_.on_vm_lost(start, vm_id{"vm-a"}, out_);
@@ -231,7 +231,7 @@
     EXPECT_EQ(services_.forwarded.size(), 1U);
 }
 
-/// Guards against a failover that callers see although the write did not run.
+/// Guards against failing a write during a failover although it did not run and can be retried.
 TEST_F(RequestExecutor, WriteFollowsTheNewPrimary) {
     executor_.on_caller(start, order(), out_);
     reply(start, outcome::not_run, error_kind::no_primary, "c");
@@ -244,7 +244,7 @@
     EXPECT_EQ(decode_token(answer.session).value().at(0).position, log_position{9});
 }
 
-/// Guards against a read that does not tell the owner what its session has seen.
+/// Guards against forwarding a read without the position of its session.
 TEST_F(RequestExecutor, SessionTravelsWithTheRead) {
     auto request = lookup();
     const session_position seen{group_id{"g"}, term{2}, log_position{7}};
@@ -254,7 +254,7 @@
     EXPECT_EQ(services_.forwarded[0].session, std::vector{seen});
 }
 
-/// Guards against an endless loop when owners name different primaries without time passing.
+/// Guards against an endless loop when owners report different primaries without time passing.
 TEST_F(RequestExecutor, ContradictingOwnersDoNotKeepAWriteGoingRound) {
     services_.learns = false;
     executor_.on_caller(start, order(), out_);
@@ -265,7 +265,7 @@
     EXPECT_GT(executor_.next_deadline(), start);
 }
 
-/// Guards against a read that fails because one replica is behind or silent.
+/// Guards against a read that fails because one replica is behind.
 TEST_F(RequestExecutor, ReadGoesOnToTheNextBackendServer) {
     executor_.on_caller(start, lookup(), out_);
     reply(start, outcome::not_run, error_kind::replica_behind);
@@ -273,13 +273,14 @@
     EXPECT_EQ(services_.forwarded[1].backend, backend_server_id{"a"});
 }
 
+/// Guards against a read that fails because one replica does not answer.
 TEST_F(RequestExecutor, ReadGoesOnAfterSilence) {
     executor_.on_caller(start, lookup(), out_);
     run_until(start + std::chrono::seconds{1});
     EXPECT_EQ(services_.forwarded.size(), 2U);
 }
 
-/// Guards against a late answer of an earlier attempt that is given to the caller.
+/// Guards against passing a late answer of an earlier attempt to the caller.
 TEST_F(RequestExecutor, LateAnswerOfAnEarlierAttemptIsDropped) {
     executor_.on_caller(start, lookup(), out_);
     forward_reply late;
@@ -292,7 +293,7 @@
     EXPECT_EQ(only_answer().result, outcome::done);
 }
 
-/// Guards against a request without an answer when nothing can serve it.
+/// Guards against a request that is never answered because there is no primary.
 TEST_F(RequestExecutor, GivesUpTheSearchForAPrimary) {
     executor_.on_caller(start, order(), out_);
     for (int i = 0; i < 1000 && executor_.pending() > 0; ++i) {
@@ -309,7 +310,7 @@
     EXPECT_TRUE(answer.problem.retry_after.has_value());
 }
 
-/// Guards against a silent write that is reported as not run at its deadline.
+/// Guards against reporting a write as not run when no answer came before its deadline.
 TEST_F(RequestExecutor, SilentWriteIsUnknownAtItsDeadline) {
     executor_.on_caller(start, order(), out_);
     run_until(start + std::chrono::seconds{5});
@@ -317,7 +318,7 @@
     EXPECT_EQ(services_.forwarded.size(), 1U);
 }
 
-/// Guards against a shutdown that cuts a request or accepts new ones.
+/// Guards against a shutdown that aborts requests in flight or accepts new ones.
 TEST_F(RequestExecutor, LeavingFinishesWhatItHas) {
     executor_.on_caller(start, order(), out_);
     executor_.leave();
--- a/tests/core/router_test.cpp
+++ b/tests/core/router_test.cpp
@@ -72,14 +72,14 @@
         preference_case{"writes_on_leaving", writes, "near", "", "", backend_state::leaving, ""}),
     [](const auto& tested) { return std::string{tested.param.guards_against}; });
 
-/// Guards against a write that is refused although an owner could name the primary.
+/// Guards against refusing a write although an owner could report the primary.
 TEST(Router, WritesTryAllWhileThePrimaryIsUnknown) {
     const router tested{here};
     EXPECT_EQ(tested.candidates(group_of(), {writes, "k", {}}, {}, start).size(), 3U);
 }
 
-/// Guards against a replica that is passed over for good after one failure, and against load
-/// that stays on a busy server.
+/// Guards against a replica that is avoided forever after one failure, and against reads that stay
+/// on a busy backend server.
 TEST(Router, MemoryIsShortAndLoadSpreads) {
     router tested{here};
     auto group = group_of();
@@ -99,8 +99,8 @@
     EXPECT_EQ(tested.candidates(group, request, {}, later).front(), first);
 }
 
-/// Guards against all partitions in one group, and against most of them moving when a group is
-/// added.
+/// Guards against assigning all partitions to one group, and against moving most of them when a
+/// group is added.
 TEST(Router, GroupsShareThePartitions) {
     pool_row pool;
     pool.groups = {{group_id{"a"}, {}}, {group_id{"b"}, {}}, {group_id{"c"}, {}}};
@@ -120,7 +120,7 @@
     EXPECT_TRUE(choose_group({}, "x").empty());
 }
 
-/// One group whose replicas lag; every entry is the number of the write that made it.
+/// Group whose replicas lag; a log position is the number of the write that added the entry.
 struct lagging_group {
     std::map<backend_server_id, backend_status> logs;
     backend_server_id primary{"far"};
@@ -141,9 +141,9 @@
 
 class RouterDifferential : public testing::TestWithParam<std::uint64_t> {};
 
-/// Guards against stale reads: reads through the router see at least what the session has seen
-/// and written, like reads that always use the primary. Guards also against reads on the primary
-/// that a replica could have served.
+/// Guards against stale reads: like reads from the primary, reads through the router must return at
+/// least the positions that the session has read or written. Also guards against reads from the
+/// primary that a replica could have served.
 TEST_P(RouterDifferential, SatisfiesTheSamePositionsAsThePrimary) {
     random_engine random{GetParam()};
     lagging_group group;
