--- a/include/jackdawvane/routing/transaction_handle.hpp
+++ b/include/jackdawvane/routing/transaction_handle.hpp
@@ -8,24 +8,24 @@
 
 namespace jackdawvane {
 
-/// @brief Contents of a transaction id: where the transaction is pinned.
+/// @brief Contents of a transaction id: the connection that the transaction is pinned to.
 struct transaction_handle {
     vm_id owner;                ///< VM that holds the pinned connection.
-    vm_incarnation incarnation; ///< Process life of that VM.
-    std::uint64_t number{0};    ///< Number at that VM.
+    vm_incarnation incarnation; ///< Incarnation of that VM's process.
+    std::uint64_t number{0};    ///< Number of the transaction at that VM.
     access_mode mode{access_mode::read};
     group_id group;
     backend_server_id backend;
-    route_name route; ///< Route that began it; its key rules apply to the follow-ups.
+    route_name route; ///< Route that began it; its key rules apply to all its requests.
 
     friend bool operator==(const transaction_handle&, const transaction_handle&) = default;
 };
 
-/// @brief Text of @a handle.
+/// @brief Encodes @a handle as a transaction id.
 [[nodiscard]] transaction_id encode_transaction(const transaction_handle& handle);
 
-/// @brief Reads a transaction id.
-/// @return the handle, or `unknown_transaction` when @a id was not made by @ref encode_transaction
+/// @brief Decodes a transaction id.
+/// @return the handle, or `unknown_transaction` if @a id was not made by @ref encode_transaction
 [[nodiscard]] result<transaction_handle> decode_transaction(const transaction_id& id);
 
 } // namespace jackdawvane
--- a/src/core/routing/session_token.cpp
+++ b/src/core/routing/session_token.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// First byte of each token; changes with the layout.
+/// First byte of a token; increased when the layout changes.
 constexpr std::uint8_t layout_version = 1;
 constexpr std::size_t number_size = 8;
 constexpr std::size_t length_size = 2;
@@ -30,7 +30,7 @@
     return XXH3_64bits(bytes.data(), bytes.size());
 }
 
-/// Reads fields one after another; fails for good when the input ends early.
+/// Reads consecutive fields. Once the input is too short, all further reads fail.
 class byte_reader {
   public:
     explicit byte_reader(std::string_view bytes) noexcept : bytes_{bytes} {}
@@ -157,7 +157,7 @@
         return malformed("the token is longer than 6144 characters");
     }
     const auto bytes = from_base64url(text);
-    // Several texts can decode to the same bytes; only the one that was issued counts.
+    // Several texts can decode to the same bytes; only the canonical one is accepted.
     if (!bytes || bytes->size() <= number_size || to_base64url(*bytes) != text) {
         return malformed("the token is not base64url");
     }
--- a/src/core/routing/transaction_handle.cpp
+++ b/src/core/routing/transaction_handle.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Unreserved in URLs, so that the id can stand in a path.
+// An unreserved character in URLs, so that the id can be part of a path.
 constexpr char separator = '~';
 constexpr std::size_t part_count = 7;
 
--- a/tests/core/session_token_test.cpp
+++ b/tests/core/session_token_test.cpp
@@ -20,7 +20,7 @@
 
 class TokenSize : public testing::TestWithParam<std::size_t> {};
 
-/// Guards against a token that loses or changes a position, also with extreme numbers.
+/// Guards against losing or changing a position in a token, including extreme values.
 TEST_P(TokenSize, RoundTripKeepsEveryPosition) {
     const auto sent = groups(GetParam());
     const auto text = encode_token(sent);
@@ -58,7 +58,7 @@
         malformed_token_case{"two_joined", encode_token(groups(2)) + encode_token(groups(2))}),
     [](const auto& tested) { return std::string{tested.param.guards_against}; });
 
-/// Guards against a damaged token that is accepted with other positions.
+/// Guards against accepting a corrupted token with different positions.
 TEST(SessionToken, AnyChangedCharacterIsRefused) {
     const auto text = encode_token(groups(3));
     for (std::size_t i = 0; i < text.size(); ++i) {
@@ -84,7 +84,7 @@
 }
 
 /// Guards against a session that loses its own writes when answers arrive out of order, and
-/// against positions that cross from one group to another.
+/// against mixing the positions of two groups.
 TEST(SessionToken, MergeNeverGoesBackAndKeepsGroupsApart) {
     std::vector<session_position> positions;
     for (const auto& seen : {at("a", 2, 10), at("b", 1, 99), at("a", 2, 9), at("a", 1, 500),
