--- a/include/jackdawvane/adapters/peer_traffic.hpp
+++ b/include/jackdawvane/adapters/peer_traffic.hpp
@@ -12,36 +12,36 @@
 namespace jackdawvane {
 
 /// @brief Reasons for which a received message is dropped.
-enum class peer_drop { wrong_mac, malformed };
+enum class peer_drop_reason { wrong_mac, malformed };
 
 /// @brief Counts the payload bytes of peer messages by method and by pair of regions.
 ///
-/// The region of a VM is learnt from membership news; until then it counts as `unknown`.
+/// The region of a VM is taken from membership updates; until one arrives it is `unknown`.
 class peer_traffic {
   public:
-    /// @brief Whether a message came or went.
+    /// @brief Direction of a message as seen from this VM.
     enum class direction { sent, received };
 
-    explicit peer_traffic(region_id own) : own_{std::move(own)} {}
+    explicit peer_traffic(region_id own) : own_region_{std::move(own)} {}
 
-    /// @brief Learns where the VMs are that @a message has news of.
-    void learn(const peer_message& message);
+    /// @brief Stores the regions of the VMs that the membership updates in @a message list.
+    void update_regions(const peer_message& message);
 
     /// @brief Counts a message of @a bytes to or from @a vm.
     void add(direction way, peer_channel channel, const char* method, const vm_id& vm,
              std::size_t bytes);
 
     /// @brief Counts a dropped message.
-    void add_drop(peer_drop reason) { ++drops_[reason]; }
+    void add_drop(peer_drop_reason reason) { ++drops_[reason]; }
 
-    /// @brief Dropped messages so far.
-    [[nodiscard]] std::uint64_t drops(peer_drop reason) const;
+    /// @brief Number of messages dropped for @a reason so far.
+    [[nodiscard]] std::uint64_t drops(peer_drop_reason reason) const;
 
-    /// @brief Bytes sent to or received from @a region so far.
+    /// @brief Number of bytes sent to or received from @a region so far.
     [[nodiscard]] std::uint64_t bytes(direction way, peer_channel channel,
                                       const region_id& region) const;
 
-    /// @brief Sends what was counted since the last report to @a out.
+    /// @brief Reports the increments since the last report to @a out.
     void report(diagnostics_port& out);
 
   private:
@@ -59,12 +59,12 @@
     [[nodiscard]] const std::string& region_of(const vm_id& vm) const;
     [[nodiscard]] std::string path_label(const key& counted) const;
 
-    region_id own_;
+    region_id own_region_;
     std::unordered_map<vm_id, region_id> regions_;
     std::map<key, counter> by_method_;
     std::map<key, counter> by_region_;
-    std::map<peer_drop, std::uint64_t> drops_;
-    std::map<peer_drop, std::uint64_t> reported_drops_;
+    std::map<peer_drop_reason, std::uint64_t> drops_;
+    std::map<peer_drop_reason, std::uint64_t> reported_drops_;
 };
 
 } // namespace jackdawvane
--- a/src/adapters/asio_types.hpp
+++ b/src/adapters/asio_types.hpp
@@ -34,7 +34,7 @@
                                asio::wait_traits<std::chrono::steady_clock>, context_executor>;
 
 /// @brief Asio endpoint of @a value.
-/// @throws boost::system::system_error when the address is not an IP number
+/// @throws boost::system::system_error when the address is not an IP address
 template <class Protocol>
 typename Protocol::endpoint to_asio(const endpoint& value) {
     return {asio::ip::make_address(value.address), value.port};
@@ -46,10 +46,10 @@
     return {value.address().to_string(), value.port()};
 }
 
-/// @brief Closes @a socket so that what the peer has not received yet is dropped.
+/// @brief Closes @a socket with a TCP reset, which discards data that is not yet delivered.
 ///
-/// After an ordinary close the kernel goes on sending: behind a cut that heals, messages that were
-/// given up would arrive many seconds late.
+/// After an ordinary close the kernel keeps retransmitting: once a network partition heals,
+/// messages that the sender had given up would arrive many seconds late.
 inline void reset_connection(tcp_socket& socket) {
     error_code ignored;
     socket.set_option(asio::socket_base::linger{true, 0}, ignored);
@@ -57,7 +57,7 @@
 }
 
 /// @brief Acceptor that listens on @a where.
-/// @throws std::runtime_error with the remedy when that is not possible
+/// @throws std::runtime_error with advice in the message when listening fails
 inline tcp_acceptor listen_on(asio::io_context& context, const endpoint& where) {
     try {
         return tcp_acceptor{context.get_executor(), to_asio<tcp>(where)};
--- a/src/adapters/json_rpc_reader.cpp
+++ b/src/adapters/json_rpc_reader.cpp
@@ -33,7 +33,7 @@
         try {
             protocol_->HandleRequest(text, unused_response);
         } catch (const std::exception&) {
-            return false; // Nesting beyond jsoncpp's limit is thrown, not reported.
+            return false; // jsoncpp throws when the nesting exceeds its limit.
         }
         return called_;
     }
--- a/src/adapters/json_rpc_writer.cpp
+++ b/src/adapters/json_rpc_writer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Keeps the text that the client would send: the transport is not libjsonrpccpp's.
+/// Captures the text that the client would send, because libjsonrpccpp's transport is not used.
 class text_capture : public jsonrpc::IClientConnector {
   public:
     void SendRPCMessage(const std::string& message,
--- a/src/adapters/json_rpc_writer.hpp
+++ b/src/adapters/json_rpc_writer.hpp
@@ -9,7 +9,7 @@
 namespace jackdawvane {
 namespace detail {
 
-/// @brief Text of a JSON-RPC 2.0 notification, without a line end.
+/// @brief Text of a JSON-RPC 2.0 notification, without a trailing newline.
 std::string write_notification(const std::string& method, const Json::Value& params);
 
 } // namespace detail
--- a/src/adapters/peer_authenticator.cpp
+++ b/src/adapters/peer_authenticator.cpp
@@ -26,7 +26,7 @@
 struct peer_authenticator::keyed_mac {
     std::unique_ptr<EVP_MAC_CTX, free_context> context;
 
-    // Initialising without a key keeps the key that was set first and its precomputed state.
+    // Initialising without a key reuses the key set by the constructor and its precomputed state.
     [[nodiscard]] std::array<char, mac_text_size + 1> compute(std::string_view text) const {
         std::array<unsigned char, digest_size> digest{};
         std::size_t size{0};
@@ -62,23 +62,23 @@
 
 peer_authenticator::~peer_authenticator() = default;
 
-std::string peer_authenticator::seal(std::string_view text) const {
+std::string peer_authenticator::add_mac(std::string_view text) const {
     const auto mac = mac_->compute(text);
-    std::string sealed;
-    sealed.reserve(prefix_size + text.size() + 1);
-    sealed.append(mac.data(), mac_text_size);
-    sealed += ' ';
-    sealed.append(text);
-    return sealed;
+    std::string message;
+    message.reserve(prefix_size + text.size() + 1);
+    message.append(mac.data(), mac_text_size);
+    message += ' ';
+    message.append(text);
+    return message;
 }
 
-std::optional<std::string_view> peer_authenticator::open(std::string_view sealed) const {
-    if (sealed.size() < prefix_size || sealed[mac_text_size] != ' ') {
+std::optional<std::string_view> peer_authenticator::verify(std::string_view message) const {
+    if (message.size() < prefix_size || message[mac_text_size] != ' ') {
         return {};
     }
-    const auto text = sealed.substr(prefix_size);
+    const auto text = message.substr(prefix_size);
     const auto mac = mac_->compute(text);
-    if (CRYPTO_memcmp(mac.data(), sealed.data(), mac_text_size) != 0) {
+    if (CRYPTO_memcmp(mac.data(), message.data(), mac_text_size) != 0) {
         return {};
     }
     return text;
--- a/src/adapters/peer_authenticator.hpp
+++ b/src/adapters/peer_authenticator.hpp
@@ -9,9 +9,10 @@
 
 namespace jackdawvane::detail {
 
-/// @brief Seals messages between VMs with a keyed MAC, so that strangers cannot send any.
+/// @brief Authenticates messages between VMs with a MAC, so that only holders of the secret can
+/// send them.
 ///
-/// A sealed message is the base64 form of the first 18 bytes of its HMAC-SHA256, a space and
+/// A message is the base64 form of the first 18 bytes of the HMAC-SHA256 of its text, a space and
 /// the text. The MAC covers the whole text and is checked before the text is parsed.
 class peer_authenticator {
   public:
@@ -24,11 +25,11 @@
     peer_authenticator& operator=(peer_authenticator&&) = delete;
     ~peer_authenticator();
 
-    /// @brief Sealed form of @a text.
-    [[nodiscard]] std::string seal(std::string_view text) const;
+    /// @brief Message that consists of the MAC of @a text and @a text.
+    [[nodiscard]] std::string add_mac(std::string_view text) const;
 
-    /// @brief Text of the sealed message @a sealed; nothing when its MAC is wrong.
-    [[nodiscard]] std::optional<std::string_view> open(std::string_view sealed) const;
+    /// @brief Text of @a message; nothing when its MAC is wrong.
+    [[nodiscard]] std::optional<std::string_view> verify(std::string_view message) const;
 
   private:
     struct keyed_mac;
--- a/src/adapters/peer_incoming.cpp
+++ b/src/adapters/peer_incoming.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr std::size_t line_limit = 2097152; // bytes
-// Longer than the sender's idle time, so that the sender closes first.
+// Longer than the sender's idle timeout, so that the sender closes first.
 constexpr auto idle_timeout = std::chrono::seconds{75};
-// A connection without one authentic line is a stranger's.
+// Closes a connection that has not sent one authenticated line.
 constexpr auto first_line_timeout = std::chrono::seconds{5};
 
 } // namespace
@@ -35,7 +35,7 @@
                                     return;
                                 }
                                 self->buffer_.append(self->chunk_.data(), size);
-                                if (!self->take_lines()) {
+                                if (!self->process_lines()) {
                                     self->fail();
                                     return;
                                 }
@@ -43,7 +43,7 @@
                             });
 }
 
-bool peer_incoming::take_lines() {
+bool peer_incoming::process_lines() {
     const std::string_view text{buffer_};
     std::size_t start = 0;
     for (auto end = text.find('\n'); end != std::string_view::npos; end = text.find('\n', start)) {
--- a/src/adapters/peer_incoming.hpp
+++ b/src/adapters/peer_incoming.hpp
@@ -15,27 +15,27 @@
 class peer_incoming : public std::enable_shared_from_this<peer_incoming> {
   public:
     using clock = std::chrono::steady_clock;
-    /// @brief Takes one line without its end; false closes the channel.
+    /// @brief Handles one line without its newline; returning false closes the channel.
     using line_handler = std::function<bool(std::string_view line)>;
     using close_callback = std::function<void(const std::shared_ptr<peer_incoming>&)>;
 
     peer_incoming(tcp_socket socket, line_handler on_line, close_callback on_closed);
 
     void start();
-    /// @brief Acknowledges what arrived since the last sweep; closes a quiet channel.
+    /// @brief Acknowledges the lines received since the last sweep; closes an idle channel.
     void sweep(clock::time_point now);
     void discard();
 
   private:
     void read();
-    bool take_lines();
+    bool process_lines();
     void acknowledge();
     void fail();
 
     tcp_socket socket_;
     line_handler on_line_;
     close_callback on_closed_;
-    std::array<char, 8192> chunk_{}; ///< Small, as a VM has one channel from each other VM.
+    std::array<char, 8192> chunk_{}; ///< Small, because each other VM opens a channel to this one.
     std::string buffer_;
     std::string acknowledgement_;
     std::uint64_t received_lines_{0};
--- a/src/adapters/peer_outgoing.cpp
+++ b/src/adapters/peer_outgoing.cpp
@@ -100,24 +100,24 @@
                                     self->fail();
                                     return;
                                 }
-                                self->take_acknowledgements(size);
+                                self->process_acknowledgements(size);
                                 self->read();
                             });
 }
 
-// An acknowledgement is the number of lines received so far, in decimal, and a line end.
-void peer_outgoing::take_acknowledgements(std::size_t size) {
+// An acknowledgement is the number of lines received so far, in decimal, and a newline.
+void peer_outgoing::process_acknowledgements(std::size_t size) {
     for (std::size_t i = 0; i < size; ++i) {
         const char each = received_.at(i);
         if (each >= '0' && each <= '9') {
-            number_ = number_ * 10 + static_cast<std::uint64_t>(each - '0');
+            acknowledgement_ = acknowledgement_ * 10 + static_cast<std::uint64_t>(each - '0');
             continue;
         }
-        if (number_ > acknowledged_lines_ && number_ <= sent_lines_) {
-            acknowledged_lines_ = number_;
+        if (acknowledgement_ > acknowledged_lines_ && acknowledgement_ <= sent_lines_) {
+            acknowledged_lines_ = acknowledgement_;
             last_progress_ = clock::now();
         }
-        number_ = 0;
+        acknowledgement_ = 0;
     }
 }
 
--- a/src/adapters/peer_outgoing.hpp
+++ b/src/adapters/peer_outgoing.hpp
@@ -12,12 +12,12 @@
 
 /// @brief Channel to one other VM, opened by this one.
 ///
-/// The receiver sends back how many lines it has received, so that a connection which accepts
-/// data without delivering it is noticed too.
+/// The receiver acknowledges the number of lines that it has received, so that a connection which
+/// accepts data without delivering it is detected too.
 class peer_outgoing : public std::enable_shared_from_this<peer_outgoing> {
   public:
     using clock = std::chrono::steady_clock;
-    /// @brief Called once when the channel closes; @a lost tells that lines may be lost.
+    /// @brief Called once when the channel closes; @a lost is true when lines may be lost.
     using close_callback = std::function<void(bool lost)>;
 
     peer_outgoing(asio::io_context& context, endpoint remote);
@@ -26,11 +26,11 @@
 
     /// @brief Starts to connect from @a local_address, which may be empty.
     void open(const std::string& local_address);
-    /// @brief Queues one line, which includes its line end; too many bytes close the channel.
+    /// @brief Queues one line with its newline; closes the channel when the queue is full.
     void send(const std::string& line);
-    /// @brief Closes the channel when it was silent or unused for too long.
+    /// @brief Closes the channel when the connect, acknowledgement or idle timeout has expired.
     void sweep(clock::time_point now);
-    /// @brief Closes the channel without a report.
+    /// @brief Closes the channel without invoking the callback.
     void discard();
 
     [[nodiscard]] const endpoint& remote() const noexcept { return remote_; }
@@ -39,7 +39,7 @@
     void open_socket(const std::string& local_address, error_code& failure);
     void write();
     void read();
-    void take_acknowledgements(std::size_t size);
+    void process_acknowledgements(std::size_t size);
     void fail();
 
     tcp_socket socket_;
@@ -50,7 +50,7 @@
     std::array<char, 512> received_{};
     std::uint64_t sent_lines_{0};
     std::uint64_t acknowledged_lines_{0};
-    std::uint64_t number_{0}; ///< Digits of the acknowledgement that is being read.
+    std::uint64_t acknowledgement_{0}; ///< Value of the digits read so far.
     clock::time_point last_progress_;
     bool connected_{false};
     bool writing_{false};
--- a/src/adapters/peer_port_adapter.cpp
+++ b/src/adapters/peer_port_adapter.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// Acknowledgements are sent at this interval; four fit into the sender's patience even when
-// two sweeps come late.
+// Acknowledgements are sent at this interval; four fit into the sender's acknowledgement timeout
+// even when two sweeps are late.
 constexpr auto sweep_interval = std::chrono::milliseconds{200};
 constexpr std::size_t datagram_limit = 60000; // bytes
 constexpr std::size_t incoming_limit = 4096;  // connections
@@ -42,13 +42,13 @@
         std::size_t bytes;
     };
 
-    [[nodiscard]] std::string sealed_text(const peer_message& message);
+    [[nodiscard]] std::string authenticated_text(const peer_message& message);
     void send_line(const send_to_peer& request, std::string line);
     void send_datagram(const send_to_peer& request, const std::string& text);
     std::shared_ptr<detail::peer_outgoing> channel_to(const send_to_peer& request);
     void on_channel_closed(const vm_id& vm, const detail::peer_outgoing* channel, bool lost);
-    bool take(std::string_view sealed, peer_channel channel);
-    void take_notification(const std::string& method, const Json::Value& params);
+    bool receive_message(std::string_view message, peer_channel channel);
+    void handle_notification(const std::string& method, const Json::Value& params);
     void accept();
     void receive_datagram();
     void sweep();
@@ -78,7 +78,7 @@
     : context_{context}, settings_{settings}, sink_{std::move(sink)},
       authenticator_{settings.secret}, reader_{[this](const std::string& method,
                                                       const Json::Value& params) {
-          take_notification(method, params);
+          handle_notification(method, params);
       }},
       traffic_{settings.region}, acceptor_{detail::listen_on(context, settings.listen)},
       datagrams_{context.get_executor(),
@@ -108,17 +108,17 @@
     incoming_.clear();
 }
 
-std::string peer_port_adapter::implementation::sealed_text(const peer_message& message) {
+std::string peer_port_adapter::implementation::authenticated_text(const peer_message& message) {
     Json::Value params{Json::objectValue};
     params["from"] = settings_.self.str();
     params["incarnation"] = to_json(settings_.incarnation);
     params["body"] = encode(message);
-    return authenticator_.seal(detail::write_notification(method_of(message), params));
+    return authenticator_.add_mac(detail::write_notification(method_of(message), params));
 }
 
 void peer_port_adapter::implementation::send(const send_to_peer& request) {
-    traffic_.learn(request.message);
-    auto text = sealed_text(request.message);
+    traffic_.update_regions(request.message);
+    auto text = authenticated_text(request.message);
     if (request.channel == peer_channel::stream) {
         send_line(request, std::move(text));
     } else {
@@ -170,30 +170,31 @@
     detail::error_code failure;
     const auto address = boost::asio::ip::make_address(request.endpoint.address, failure);
     if (failure || text.size() > datagram_limit) {
-        return; // A datagram may be lost; the sender repeats it or does without.
+        return; // Datagrams are unreliable: the sender repeats them or tolerates the loss.
     }
     traffic_.add(peer_traffic::direction::sent, peer_channel::datagram, method_of(request.message),
                  request.vm, text.size());
     datagrams_.send_to(boost::asio::buffer(text), {address, request.endpoint.port}, 0, failure);
 }
 
-bool peer_port_adapter::implementation::take(std::string_view sealed, peer_channel channel) {
-    const auto text = authenticator_.open(sealed);
+bool peer_port_adapter::implementation::receive_message(std::string_view message,
+                                                        peer_channel channel) {
+    const auto text = authenticator_.verify(message);
     if (!text) {
-        traffic_.add_drop(peer_drop::wrong_mac);
+        traffic_.add_drop(peer_drop_reason::wrong_mac);
         return false;
     }
     text_.assign(*text);
-    current_ = {channel, sealed.size()};
+    current_ = {channel, message.size()};
     decoded_ = false;
     if (!reader_.read(text_) || !decoded_) {
-        traffic_.add_drop(peer_drop::malformed);
+        traffic_.add_drop(peer_drop_reason::malformed);
     }
     return true;
 }
 
-void peer_port_adapter::implementation::take_notification(const std::string& method,
-                                                          const Json::Value& params) {
+void peer_port_adapter::implementation::handle_notification(const std::string& method,
+                                                            const Json::Value& params) {
     const auto& from = params["from"];
     const auto& incarnation = params["incarnation"];
     if (!from.isString() || !incarnation.isUInt64()) {
@@ -206,7 +207,7 @@
     decoded_ = true;
     peer_received arrived{vm_id{from.asString()}, vm_incarnation{incarnation.asUInt64()},
                           std::move(message).value()};
-    traffic_.learn(arrived.message);
+    traffic_.update_regions(arrived.message);
     traffic_.add(peer_traffic::direction::received, current_.channel, method_of(arrived.message),
                  arrived.from, current_.bytes);
     sink_(std::move(arrived));
@@ -224,7 +225,7 @@
                     std::move(socket),
                     [weak](std::string_view line) {
                         const auto owner = weak.lock();
-                        return owner && owner->take(line, peer_channel::stream);
+                        return owner && owner->receive_message(line, peer_channel::stream);
                     },
                     [weak](const std::shared_ptr<detail::peer_incoming>& closed) {
                         if (const auto owner = weak.lock()) {
@@ -246,7 +247,7 @@
                 return;
             }
             if (!failure) {
-                self->take({self->datagram_.data(), size}, peer_channel::datagram);
+                self->receive_message({self->datagram_.data(), size}, peer_channel::datagram);
             }
             self->receive_datagram();
         });
--- a/src/adapters/peer_traffic.cpp
+++ b/src/adapters/peer_traffic.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void peer_traffic::learn(const peer_message& message) {
+void peer_traffic::update_regions(const peer_message& message) {
     const auto* const probe = std::get_if<membership_probe>(&message);
     if (probe == nullptr) {
         return;
@@ -40,7 +40,7 @@
     return found == regions_.end() ? unknown_region : found->second.str();
 }
 
-std::uint64_t peer_traffic::drops(peer_drop reason) const {
+std::uint64_t peer_traffic::drops(peer_drop_reason reason) const {
     const auto found = drops_.find(reason);
     return found == drops_.end() ? 0 : found->second;
 }
@@ -53,8 +53,8 @@
 
 std::string peer_traffic::path_label(const key& counted) const {
     const bool sent = counted.way == direction::sent;
-    const auto& from = sent ? own_.str() : counted.name;
-    const auto& to = sent ? counted.name : own_.str();
+    const auto& from = sent ? own_region_.str() : counted.name;
+    const auto& to = sent ? counted.name : own_region_.str();
     return text_of(counted.channel) + from + " to " + to;
 }
 
@@ -74,7 +74,7 @@
     }
     for (const auto& [reason, total] : drops_) {
         const auto added = total - std::exchange(reported_drops_[reason], total);
-        const auto* const text = reason == peer_drop::wrong_mac ? "wrong_mac" : "malformed";
+        const auto* const text = reason == peer_drop_reason::wrong_mac ? "wrong_mac" : "malformed";
         count_bytes(out, "peer_messages_dropped_total", "reason", text, added);
     }
 }
--- a/tests/adapters/peer_contract_test.cpp
+++ b/tests/adapters/peer_contract_test.cpp
@@ -12,7 +12,7 @@
 namespace jackdawvane {
 namespace {
 
-/// Two VMs whose ports are connected; the contract runs against each kind.
+/// Two VMs whose ports are connected; the tests run against each implementation.
 class peer_pair {
   public:
     peer_pair() = default;
@@ -115,7 +115,7 @@
     EXPECT_TRUE(pair_->run_until([&] { return pair_->receiver_log.events.size() == 1; }));
 }
 
-/// Guards against a sender that waits for an answer of a VM that is gone.
+/// Guards against a sender that waits for an answer of a VM that has stopped.
 TEST_P(PeerContract, LostStreamIsReportedOnceAndNotFromWithinTheCall) {
     pair_->stop_receiver();
     send(announcement(1));
--- a/tests/adapters/peer_outgoing_test.cpp
+++ b/tests/adapters/peer_outgoing_test.cpp
@@ -8,8 +8,9 @@
 namespace jackdawvane::detail {
 namespace {
 
-// kdrp-vane scale-1 --seed 979679551564: messages that were given up during a cut arrived 11 s
-// later, all at once, and the statements among them took the slots.
+// Guards against messages that arrive after the sender has given them up. In kdrp-vane scale-1
+// --seed 979679551564, messages given up during a network partition arrived 11 s later, all at
+// once, and the statements among them occupied the slots.
 TEST(PeerOutgoing, DiscardedChannelIsReset) {
     asio::io_context context;
     tcp::acceptor acceptor{context, {asio::ip::make_address("127.0.0.1"), 0}};
--- a/tests/adapters/peer_port_test.cpp
+++ b/tests/adapters/peer_port_test.cpp
@@ -58,7 +58,7 @@
     std::unique_ptr<peer_port_adapter> receiver;
 };
 
-/// Guards against messages of a channel that change, overtake each other or lose their sender.
+/// Guards against messages of a channel that are altered, reordered or lose their sender.
 TEST_F(PeerPort, StreamKeepsOrderAndSender) {
     for (std::uint64_t i = 1; i <= 100; ++i) {
         send(*sender, announcement(i));
@@ -85,30 +85,32 @@
     }
 }
 
-class StrangersMessage : public PeerPort, public testing::WithParamInterface<peer_channel> {};
+class UnauthenticatedMessage : public PeerPort, public testing::WithParamInterface<peer_channel> {};
 
-/// Guards against a peer port that takes orders from anybody who can reach it.
-TEST_P(StrangersMessage, WithAnotherSecretIsDroppedAndCounted) {
-    loopback::event_log stranger_log;
-    peer_port_adapter stranger{context, settings_of("vm-a", "127.0.0.5", "guess"),
-                               stranger_log.sink()};
-    send(stranger, announcement(1), GetParam());
-    ASSERT_TRUE(run_until([&] { return receiver->traffic().drops(peer_drop::wrong_mac) == 1; }));
+/// Guards against a peer port that accepts messages from senders without the secret.
+TEST_P(UnauthenticatedMessage, WithAnotherSecretIsDroppedAndCounted) {
+    loopback::event_log unauthenticated_log;
+    peer_port_adapter unauthenticated{context, settings_of("vm-a", "127.0.0.5", "guess"),
+                                      unauthenticated_log.sink()};
+    send(unauthenticated, announcement(1), GetParam());
+    ASSERT_TRUE(
+        run_until([&] { return receiver->traffic().drops(peer_drop_reason::wrong_mac) == 1; }));
     EXPECT_TRUE(receiver_log.events.empty());
 }
 
-INSTANTIATE_TEST_SUITE_P(PeerPort, StrangersMessage,
+INSTANTIATE_TEST_SUITE_P(PeerPort, UnauthenticatedMessage,
                          testing::Values(peer_channel::stream, peer_channel::datagram));
 
-struct stranger_case {
+struct invalid_input_case {
     const char* name;
     std::string input;
 };
 
-class StrangersConnection : public PeerPort, public testing::WithParamInterface<stranger_case> {};
+class UnauthenticatedConnection : public PeerPort,
+                                  public testing::WithParamInterface<invalid_input_case> {};
 
-/// Guards against strangers who crash the process or exhaust its memory.
-TEST_P(StrangersConnection, IsClosedAndTheChannelOfOthersGoesOn) {
+/// Guards against unauthenticated input that crashes the process or exhausts its memory.
+TEST_P(UnauthenticatedConnection, IsClosedAndTheChannelOfOthersGoesOn) {
     tcp::socket socket{context};
     const auto where = receiver->local_endpoint();
     socket.connect({boost::asio::ip::make_address(where.address), where.port});
@@ -124,13 +126,13 @@
     ASSERT_TRUE(run_until([&] { return receiver_log.events.size() == 1; }));
 }
 
-INSTANTIATE_TEST_SUITE_P(PeerPort, StrangersConnection,
-                         testing::Values(stranger_case{"no_mac", "{}\n"},
-                                         stranger_case{"empty_line", "\n"},
-                                         stranger_case{"endless_line", std::string(3000000, 'x')}),
-                         [](const auto& tested) { return std::string{tested.param.name}; });
+INSTANTIATE_TEST_SUITE_P(
+    PeerPort, UnauthenticatedConnection,
+    testing::Values(invalid_input_case{"no_mac", "{}\n"}, invalid_input_case{"empty_line", "\n"},
+                    invalid_input_case{"endless_line", std::string(3000000, 'x')}),
+    [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a sender that is never told that its messages went nowhere.
+/// Guards against a sender that is never notified that its messages were not delivered.
 TEST_F(PeerPort, ReportsARefusedConnection) {
     const auto nowhere = receiver->local_endpoint();
     receiver.reset();
@@ -166,7 +168,7 @@
     EXPECT_TRUE(sender_log.events.empty());
 }
 
-/// Guards against inter-region traffic, which is billed, that is not counted.
+/// Guards against traffic between regions, which is billed, that is not counted.
 TEST_F(PeerPort, CountsBytesByRegion) {
     membership_probe probe;
     member_update update;
