--- a/include/jackdawvane/adapters/asio_host.hpp
+++ b/include/jackdawvane/adapters/asio_host.hpp
@@ -19,12 +19,12 @@
 class tick_timer;
 } // namespace detail
 
-/// @brief Drives a node on an io_context: feeds events and time, carries the actions out.
+/// @brief Runs a node on an io_context: delivers events and timer ticks, executes the actions.
 ///
-/// Not movable; adapters refer to it through `sink()`.
+/// Not movable, because the sinks that adapters hold refer to it.
 class asio_host {
   public:
-    /// @param on_stopped called once, after the actions that came with `stopped`
+    /// @param on_stopped called once, after the batch of actions with `stopped` was executed
     asio_host(boost::asio::io_context& context, node_interface& node,
               std::function<void()> on_stopped);
     asio_host(const asio_host&) = delete;
@@ -37,13 +37,13 @@
     /// @pre called once, before the context runs
     void start(port_set ports);
 
-    /// @brief Feeds @a input to the node and carries out the resulting actions.
+    /// @brief Delivers @a input to the node and executes the resulting actions.
     void deliver(event&& input);
 
-    /// @brief Sink for the adapters that delivers to this host.
+    /// @brief Sink through which adapters deliver events to this host.
     [[nodiscard]] event_sink sink();
 
-    /// @brief Present time on the node's time line.
+    /// @brief Current time of the clock that the node uses.
     [[nodiscard]] static time_point now();
 
   private:
--- a/include/jackdawvane/adapters/process_identity.hpp
+++ b/include/jackdawvane/adapters/process_identity.hpp
@@ -6,11 +6,11 @@
 
 namespace jackdawvane {
 
-/// @brief Incarnation of a process that starts now: milliseconds since the epoch, so that a later
-/// life of the same VM has a higher one.
+/// @brief Incarnation of a process that starts now: milliseconds since the epoch, so that a
+/// restart of the same VM gets a higher one.
 [[nodiscard]] vm_incarnation present_incarnation();
 
-/// @brief Seed from the system's source of randomness.
+/// @brief Seed from the random number source of the operating system.
 [[nodiscard]] std::uint64_t random_seed();
 
 } // namespace jackdawvane
--- a/include/jackdawvane/adapters/proxy_host.hpp
+++ b/include/jackdawvane/adapters/proxy_host.hpp
@@ -18,7 +18,7 @@
 class tick_timer;
 } // namespace detail
 
-/// @brief Makes the promotion calls of a proxy.
+/// @brief Sends the promotion requests of a proxy.
 class promotion_port {
   public:
     promotion_port() = default;
@@ -28,21 +28,21 @@
     promotion_port& operator=(promotion_port&&) = delete;
     virtual ~promotion_port() = default;
 
-    /// @brief The answer comes back as `promotion_answered`.
+    /// @brief Sends @a request; the answer is delivered as event `promotion_answered`.
     virtual void promote(const promote_member& request) = 0;
 };
 
 /// @brief Ports of a proxy host.
 struct proxy_port_set {
     session_port& sessions;
-    member_port& members;
+    member_port& servers;
     promotion_port& promotions;
     store_port& store;
     peer_port& peers;
     diagnostics_port& diagnostics;
 };
 
-/// @brief Drives a session proxy with Asio: one thread, one event at a time.
+/// @brief Runs a session proxy on an io_context: one thread, one event at a time.
 class proxy_host {
   public:
     /// @param proxy outlives this object
@@ -57,9 +57,9 @@
 
     /// @brief Delivers the first tick.
     void start(proxy_port_set ports);
-    /// @brief Hands an event to the proxy; safe to call from within an action.
+    /// @brief Delivers an event to the proxy, or queues it when called during another event.
     void deliver(proxy_event&& input);
-    /// @brief Time that also passes while the machine is suspended.
+    /// @brief Current time of a clock that also advances while the VM is suspended.
     [[nodiscard]] static time_point now();
 
   private:
--- a/include/jackdawvane/adapters/session_codec.hpp
+++ b/include/jackdawvane/adapters/session_codec.hpp
@@ -18,12 +18,12 @@
 /// @brief A caller ends its session.
 struct caller_end {};
 
-/// @brief A line that cannot be read.
+/// @brief A line that cannot be parsed.
 struct unreadable_line {
     std::string reason;
 };
 
-/// @brief What a caller's line says.
+/// @brief Parsed line of a caller.
 using caller_line = std::variant<caller_start, statement, caller_end, unreadable_line>;
 
 /// @brief One row of an answer.
@@ -36,23 +36,23 @@
     std::string signature;
 };
 
-/// @brief A statement or a start failed.
+/// @brief A statement or the start of a session failed.
 struct answer_problem {
     statement_error problem{statement_error::none};
     std::string detail;
 };
 
-/// @brief End of an answer, or of the start.
+/// @brief End of an answer, or of the start of a session.
 struct answer_ready {
     transaction_state state{transaction_state::idle};
     std::optional<log_point> position;
 };
 
-/// @brief What a backend server's line says.
+/// @brief Parsed line of a backend server.
 using backend_line =
     std::variant<answer_row, answer_completed, answer_problem, answer_ready, unreadable_line>;
 
-/// @brief Text form of SQL sessions, one line a message.
+/// @brief Encodes and decodes the messages of SQL sessions as text, one line per message.
 class session_codec {
   public:
     session_codec() = default;
@@ -64,7 +64,7 @@
 
     [[nodiscard]] virtual caller_line read_caller(std::string_view line) const = 0;
     [[nodiscard]] virtual backend_line read_backend(std::string_view line) const = 0;
-    /// @brief Status in a row of an answer; nothing when it is not one.
+    /// @brief Status of a backend server in @a row; nothing when the row contains none.
     [[nodiscard]] virtual std::optional<member_status> read_status(std::string_view row) const = 0;
 
     virtual void write_greeting(std::string& out) const = 0;
--- a/include/jackdawvane/adapters/session_ports.hpp
+++ b/include/jackdawvane/adapters/session_ports.hpp
@@ -13,17 +13,17 @@
 
 namespace jackdawvane {
 
-/// @brief Takes events of SQL sessions.
+/// @brief Receives the events of SQL sessions.
 using proxy_event_sink = std::function<void(proxy_event&&)>;
 
-/// @brief Settings of the callers' side.
+/// @brief Settings of the connections from callers.
 struct session_port_settings {
     endpoint listen;
     std::size_t line_limit{std::size_t{1024} * 1024}; ///< Bytes.
     std::size_t session_limit{3900};                  ///< Further connections are closed.
 };
 
-/// @brief Callers' connections.
+/// @brief Connections from callers, for SQL sessions.
 class session_port {
   public:
     /// @param codec outlives this object
@@ -35,7 +35,7 @@
     session_port& operator=(session_port&&) = delete;
     ~session_port();
 
-    void greet(session_id session);
+    void accept(session_id session);
     void answer(session_id session, const statement_reply& reply);
     void reject(session_id session, statement_error problem, const std::string& detail);
     void end(session_id session);
@@ -46,13 +46,13 @@
     std::shared_ptr<implementation> implementation_;
 };
 
-/// @brief Settings of the backend servers' side.
+/// @brief Settings of the connections to backend servers.
 struct member_port_settings {
-    std::string local_address;                        ///< Source IP number; empty for any.
+    std::string local_address;                        ///< Source IP address; empty for any.
     std::size_t line_limit{std::size_t{1024} * 1024}; ///< Bytes.
 };
 
-/// @brief Connections to backend servers.
+/// @brief Connections to backend servers, for SQL sessions.
 class member_port {
   public:
     /// @param codec outlives this object
--- a/src/adapters/asio_host.cpp
+++ b/src/adapters/asio_host.cpp
@@ -6,18 +6,17 @@
 
 namespace {
 
-// The node detects a pause of its VM from the distance of two ticks.
-constexpr duration longest_tick_distance = std::chrono::milliseconds{100};
-// A deadline in the past must not keep the thread from serving its sockets.
-constexpr duration shortest_tick_distance = std::chrono::microseconds{100};
+// The node detects a pause of its VM by the time between two ticks.
+constexpr duration max_tick_delay = std::chrono::milliseconds{100};
+// Keeps a deadline in the past from starving the socket I/O of the thread.
+constexpr duration min_tick_delay = std::chrono::microseconds{100};
 
 } // namespace
 
 asio_host::asio_host(boost::asio::io_context& context, node_interface& node,
                      std::function<void()> on_stopped)
     : node_{node}, on_stopped_{std::move(on_stopped)}, timer_{std::make_unique<detail::tick_timer>(
-                                                           context, shortest_tick_distance,
-                                                           longest_tick_distance,
+                                                           context, min_tick_delay, max_tick_delay,
                                                            [this] { deliver(timer_tick{}); })} {}
 
 asio_host::~asio_host() = default;
--- a/src/adapters/line_stream.cpp
+++ b/src/adapters/line_stream.cpp
@@ -11,10 +11,11 @@
 namespace {
 
 constexpr std::size_t read_size = 4096;
-/// A peer that does not read is given up when this much waits for it.
+/// Bytes queued for a peer that does not read; beyond them the connection is closed.
 constexpr std::size_t output_limit = std::size_t{8} * 1024 * 1024;
-// A peer that lost power or is cut off answers nothing; these end the connection after about
-// four seconds, in which the platform's balancer has taken the peer out as well.
+// A peer that lost power or is partitioned sends nothing, not even a reset. These options close
+// the connection after about four seconds, by which time the platform's load balancer has removed
+// the peer as well.
 constexpr int keep_alive_idle_s = 2;
 constexpr int keep_alive_interval_s = 1;
 constexpr int keep_alive_probes = 2;
@@ -33,7 +34,7 @@
 line_stream::line_stream(asio::io_context& context, std::size_t line_limit)
     : socket_{context.get_executor()}, line_limit_{line_limit} {}
 
-/// Options are best effort: without them a dead peer is found later, by a timeout.
+/// Errors are ignored: without the options a dead peer is detected later, by a timeout.
 void line_stream::prepare_socket() {
     error_code ignored;
     socket_.set_option(tcp::no_delay{true}, ignored);
@@ -99,7 +100,7 @@
         end(stream_end::lost);
         return;
     }
-    take_lines();
+    process_lines();
     if (closed_) {
         return;
     }
@@ -110,7 +111,7 @@
     read();
 }
 
-void line_stream::take_lines() {
+void line_stream::process_lines() {
     std::size_t begin = 0;
     while (!closed_) {
         const auto found = input_.find('\n', begin);
--- a/src/adapters/line_stream.hpp
+++ b/src/adapters/line_stream.hpp
@@ -14,34 +14,34 @@
 
 /// @brief TCP stream of text lines that end with CR LF.
 ///
-/// What is written during one event leaves in one piece. No callback comes after `close`.
+/// Text written during one event is sent in one write. No callback is invoked after `close`.
 class line_stream : public std::enable_shared_from_this<line_stream> {
   public:
     using line_callback = std::function<void(std::string_view line)>;
     using end_callback = std::function<void(stream_end)>;
 
-    /// @brief Stream on an accepted connection.
+    /// @brief Wraps an accepted connection.
     line_stream(tcp_socket socket, std::size_t line_limit);
-    /// @brief Stream that `connect` opens.
+    /// @brief Prepares a connection that `connect` opens.
     line_stream(asio::io_context& context, std::size_t line_limit);
 
-    /// @brief Opens the connection; what is written before waits for it.
+    /// @brief Opens the connection; text written earlier is sent once it is open.
     void connect(const endpoint& remote, const std::string& local_address);
-    /// @brief Begins to read on an open connection.
+    /// @brief Starts reading from an accepted connection.
     void start();
     void on_line(line_callback callback) { on_line_ = std::move(callback); }
     void on_end(end_callback callback) { on_end_ = std::move(callback); }
     void write(std::string_view text);
-    /// @brief Closes at once; what the peer has not received is dropped.
+    /// @brief Closes immediately with a TCP reset, which discards undelivered data.
     void close();
-    /// @brief Closes once everything that was written has left.
+    /// @brief Closes once all written text has been sent.
     void close_after_write();
 
   private:
     void prepare_socket();
     void read();
     void on_read(error_code failure, std::size_t size);
-    void take_lines();
+    void process_lines();
     void flush();
     void end(stream_end reason);
 
--- a/src/adapters/member_port.cpp
+++ b/src/adapters/member_port.cpp
@@ -19,26 +19,26 @@
     void send(const send_to_member& commands);
     void close(connection_id connection);
     void stop();
-    [[nodiscard]] std::size_t connections() const noexcept { return members_.size(); }
+    [[nodiscard]] std::size_t connections() const noexcept { return servers_.size(); }
 
   private:
-    struct member {
+    struct server_state {
         std::shared_ptr<detail::line_stream> stream;
         bool started{false};
         std::optional<answer_problem> start_problem;
-        statement_reply reply; ///< Lines of the present answer.
+        statement_reply reply; ///< Lines of the current answer.
         std::optional<member_status> status;
     };
 
-    void take(connection_id id, std::string_view line);
-    void take_ready(connection_id id, member& own, const answer_ready& ready);
-    void ended(connection_id id, detail::stream_end reason);
+    void handle_line(connection_id id, std::string_view line);
+    void handle_ready(connection_id id, server_state& server, const answer_ready& ready);
+    void on_stream_end(connection_id id, detail::stream_end reason);
 
     boost::asio::io_context& context_;
     member_port_settings settings_;
     const session_codec& codec_;
     proxy_event_sink sink_;
-    std::unordered_map<connection_id, member> members_;
+    std::unordered_map<connection_id, server_state> servers_;
 };
 
 void member_port::implementation::open(const open_member& start) {
@@ -47,15 +47,15 @@
     const auto id = start.connection;
     stream->on_line([weak, id](std::string_view line) {
         if (const auto self = weak.lock()) {
-            self->take(id, line);
+            self->handle_line(id, line);
         }
     });
     stream->on_end([weak, id](detail::stream_end reason) {
         if (const auto self = weak.lock()) {
-            self->ended(id, reason);
+            self->on_stream_end(id, reason);
         }
     });
-    members_[id].stream = stream;
+    servers_[id].stream = stream;
     std::string text;
     codec_.write_start(start, text);
     stream->write(text);
@@ -63,8 +63,8 @@
 }
 
 void member_port::implementation::send(const send_to_member& commands) {
-    const auto found = members_.find(commands.connection);
-    if (found == members_.end()) {
+    const auto found = servers_.find(commands.connection);
+    if (found == servers_.end()) {
         return;
     }
     std::string text;
@@ -74,53 +74,53 @@
     found->second.stream->write(text);
 }
 
-void member_port::implementation::take(connection_id id, std::string_view line) {
-    const auto found = members_.find(id);
-    if (found == members_.end()) {
+void member_port::implementation::handle_line(connection_id id, std::string_view line) {
+    const auto found = servers_.find(id);
+    if (found == servers_.end()) {
         return;
     }
-    auto& own = found->second;
+    auto& server = found->second;
     auto message = codec_.read_backend(line);
     if (auto* row = std::get_if<answer_row>(&message)) {
-        if (!own.status) {
-            own.status = codec_.read_status(row->text);
+        if (!server.status) {
+            server.status = codec_.read_status(row->text);
         }
-        own.reply.rows.push_back(std::move(row->text));
+        server.reply.rows.push_back(std::move(row->text));
     } else if (auto* completed = std::get_if<answer_completed>(&message)) {
-        own.reply.signature = std::move(completed->signature);
+        server.reply.signature = std::move(completed->signature);
     } else if (auto* problem = std::get_if<answer_problem>(&message)) {
-        if (!own.started) {
-            own.start_problem = std::move(*problem);
-            own.stream->close();
-            ended(id, detail::stream_end::lost);
+        if (!server.started) {
+            server.start_problem = std::move(*problem);
+            server.stream->close();
+            on_stream_end(id, detail::stream_end::lost);
             return;
         }
-        own.reply.problem = problem->problem;
-        own.reply.detail = std::move(problem->detail);
+        server.reply.problem = problem->problem;
+        server.reply.detail = std::move(problem->detail);
     } else if (const auto* ready = std::get_if<answer_ready>(&message)) {
-        take_ready(id, own, *ready);
+        handle_ready(id, server, *ready);
     } else {
-        own.stream->close();
-        ended(id, detail::stream_end::lost);
+        server.stream->close();
+        on_stream_end(id, detail::stream_end::lost);
     }
 }
 
-void member_port::implementation::take_ready(connection_id id, member& own,
-                                             const answer_ready& ready) {
-    if (!own.started) {
-        own.started = true;
+void member_port::implementation::handle_ready(connection_id id, server_state& server,
+                                               const answer_ready& ready) {
+    if (!server.started) {
+        server.started = true;
         sink_(member_ready{id, ready.position});
         return;
     }
-    auto reply = std::exchange(own.reply, {});
+    auto reply = std::exchange(server.reply, {});
     reply.state = ready.state;
     reply.position = ready.position;
-    sink_(member_replied{id, std::move(reply), std::exchange(own.status, {})});
+    sink_(member_replied{id, std::move(reply), std::exchange(server.status, {})});
 }
 
-void member_port::implementation::ended(connection_id id, detail::stream_end reason) {
-    const auto found = members_.find(id);
-    if (found == members_.end()) {
+void member_port::implementation::on_stream_end(connection_id id, detail::stream_end reason) {
+    const auto found = servers_.find(id);
+    if (found == servers_.end()) {
         return;
     }
     member_closed closed{id, close_reason::lost, statement_error::none};
@@ -130,24 +130,24 @@
     } else if (reason == detail::stream_end::refused) {
         closed.reason = close_reason::refused;
     }
-    members_.erase(found);
+    servers_.erase(found);
     sink_(closed);
 }
 
 void member_port::implementation::close(connection_id connection) {
-    const auto found = members_.find(connection);
-    if (found != members_.end()) {
+    const auto found = servers_.find(connection);
+    if (found != servers_.end()) {
         const auto stream = found->second.stream;
-        members_.erase(found);
+        servers_.erase(found);
         stream->close();
     }
 }
 
 void member_port::implementation::stop() {
-    for (const auto& [id, own] : members_) {
-        own.stream->close();
+    for (const auto& [id, server] : servers_) {
+        server.stream->close();
     }
-    members_.clear();
+    servers_.clear();
 }
 
 member_port::member_port(boost::asio::io_context& context, member_port_settings settings,
--- a/src/adapters/proxy_host.cpp
+++ b/src/adapters/proxy_host.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-// The proxy detects a pause of its VM from the distance of two ticks.
-constexpr duration longest_tick_distance = std::chrono::milliseconds{100};
-// Each wake-up costs processor time; timers of the proxy bear this much delay.
-constexpr duration shortest_tick_distance = std::chrono::milliseconds{4};
+// The proxy detects a pause of its VM by the time between two ticks.
+constexpr duration max_tick_delay = std::chrono::milliseconds{100};
+// Limits the CPU time spent on wake-ups; the timers of the proxy tolerate this delay.
+constexpr duration min_tick_delay = std::chrono::milliseconds{4};
 
 struct session_visitor {
     proxy_port_set& ports;
 
-    void operator()(const greet_session& value) const { ports.sessions.greet(value.session); }
+    void operator()(const greet_session& value) const { ports.sessions.accept(value.session); }
     void operator()(const answer_statement& value) const {
         ports.sessions.answer(value.session, value.reply);
     }
@@ -26,13 +26,13 @@
         ports.sessions.reject(value.session, value.problem, value.detail);
     }
     void operator()(const end_session& value) const { ports.sessions.end(value.session); }
-    void operator()(const open_member& value) const { ports.members.open(value); }
-    void operator()(const send_to_member& value) const { ports.members.send(value); }
-    void operator()(const close_member& value) const { ports.members.close(value.connection); }
+    void operator()(const open_member& value) const { ports.servers.open(value); }
+    void operator()(const send_to_member& value) const { ports.servers.send(value); }
+    void operator()(const close_member& value) const { ports.servers.close(value.connection); }
     void operator()(const promote_member& value) const { ports.promotions.promote(value); }
 };
 
-/// The HTTP node's actions that a session proxy never asks for are ignored.
+/// Ignores the actions that only the HTTP node emits, never a session proxy.
 struct common_visitor {
     proxy_port_set& ports;
     bool& stopped_flag;
@@ -51,17 +51,16 @@
 proxy_host::proxy_host(boost::asio::io_context& context, session_proxy& proxy,
                        std::function<void()> on_stopped)
     : proxy_{proxy}, on_stopped_{std::move(on_stopped)},
-      timer_{std::make_unique<detail::tick_timer>(context, shortest_tick_distance,
-                                                  longest_tick_distance,
+      timer_{std::make_unique<detail::tick_timer>(context, min_tick_delay, max_tick_delay,
                                                   [this] { deliver(timer_tick{}); })} {}
 
 proxy_host::~proxy_host() = default;
 
 time_point proxy_host::now() {
-    std::timespec present{};
-    clock_gettime(CLOCK_BOOTTIME, &present);
+    std::timespec timestamp{};
+    clock_gettime(CLOCK_BOOTTIME, &timestamp);
     return time_point{std::chrono::duration_cast<duration>(
-        std::chrono::seconds{present.tv_sec} + std::chrono::nanoseconds{present.tv_nsec})};
+        std::chrono::seconds{timestamp.tv_sec} + std::chrono::nanoseconds{timestamp.tv_nsec})};
 }
 
 void proxy_host::start(proxy_port_set ports) {
--- a/src/adapters/session_port.cpp
+++ b/src/adapters/session_port.cpp
@@ -31,8 +31,8 @@
 
   private:
     void add(detail::tcp_socket socket);
-    void take(session_id session, std::string_view line);
-    void ended(session_id session, detail::stream_end reason);
+    void handle_line(session_id session, std::string_view line);
+    void on_stream_end(session_id session, detail::stream_end reason);
 
     session_port_settings settings_;
     const session_codec& codec_;
@@ -73,19 +73,19 @@
     const std::weak_ptr<implementation> weak = weak_from_this();
     stream->on_line([weak, id](std::string_view line) {
         if (const auto self = weak.lock()) {
-            self->take(id, line);
+            self->handle_line(id, line);
         }
     });
     stream->on_end([weak, id](detail::stream_end reason) {
         if (const auto self = weak.lock()) {
-            self->ended(id, reason);
+            self->on_stream_end(id, reason);
         }
     });
     streams_[id] = stream;
     stream->start();
 }
 
-void session_port::implementation::take(session_id session, std::string_view line) {
+void session_port::implementation::handle_line(session_id session, std::string_view line) {
     auto message = codec_.read_caller(line);
     if (auto* start = std::get_if<caller_start>(&message)) {
         sink_(session_started{session, std::move(start->database), std::move(start->key)});
@@ -99,7 +99,7 @@
     }
 }
 
-void session_port::implementation::ended(session_id session, detail::stream_end reason) {
+void session_port::implementation::on_stream_end(session_id session, detail::stream_end reason) {
     streams_.erase(session);
     if (reason == detail::stream_end::line_too_long) {
         sink_(session_broken{session, "line too long"});
@@ -150,7 +150,7 @@
     implementation_->stop();
 }
 
-void session_port::greet(session_id session) {
+void session_port::accept(session_id session) {
     std::string text;
     implementation_->codec().write_greeting(text);
     implementation_->write(session, text, false);
--- a/src/adapters/tick_timer.hpp
+++ b/src/adapters/tick_timer.hpp
@@ -7,26 +7,26 @@
 
 namespace jackdawvane::detail {
 
-/// @brief Calls back at the deadline of a state machine, within bounds.
+/// @brief Invokes a callback at the deadline of a state machine, with a bounded delay.
 class tick_timer {
   public:
-    /// @param shortest a deadline in the past must not keep the thread from serving its sockets
-    /// @param longest the state machine detects a pause of its VM from the distance of two ticks
-    tick_timer(asio::io_context& context, duration shortest, duration longest,
+    /// @param min_delay keeps a deadline in the past from starving the socket I/O of the thread
+    /// @param max_delay the state machine detects a pause of its VM by the time between two ticks
+    tick_timer(asio::io_context& context, duration min_delay, duration max_delay,
                std::function<void()> on_tick)
-        : wait_{context.get_executor()}, shortest_{shortest}, longest_{longest}, on_tick_{std::move(
-                                                                                     on_tick)} {}
+        : wait_{context.get_executor()}, min_delay_{min_delay},
+          max_delay_{max_delay}, on_tick_{std::move(on_tick)} {}
 
-    /// @brief Ticks at @a deadline, or earlier when a tick is due before.
+    /// @brief Schedules a tick at @a deadline, unless an earlier one is scheduled.
     ///
-    /// The timer stays as it is when it is due early enough: most events don't change the deadline.
-    void schedule(time_point present, time_point deadline) {
-        const auto due = std::clamp(deadline, present + shortest_, present + longest_);
+    /// A timer that expires early enough is kept, because most events don't change the deadline.
+    void schedule(time_point now, time_point deadline) {
+        const auto due = std::clamp(deadline, now + min_delay_, now + max_delay_);
         if (due >= scheduled_) {
             return;
         }
         scheduled_ = due;
-        wait_.expires_after(due - present);
+        wait_.expires_after(due - now);
         wait_.async_wait([this](error_code failure) {
             if (failure) {
                 return;
@@ -38,8 +38,8 @@
 
   private:
     steady_timer wait_;
-    duration shortest_;
-    duration longest_;
+    duration min_delay_;
+    duration max_delay_;
     std::function<void()> on_tick_;
     time_point scheduled_{no_deadline};
 };
--- a/tests/adapters/asio_host_test.cpp
+++ b/tests/adapters/asio_host_test.cpp
@@ -9,7 +9,7 @@
 namespace jackdawvane {
 namespace {
 
-/// Node that keeps the times of its ticks and answers a caller with two actions.
+/// Node that counts its ticks and responds to `caller_gone` with two actions.
 class recording_node final : public node_interface {
   public:
     void handle(time_point now, const event& what, actions& out) override {
@@ -30,7 +30,7 @@
     int ticks{0};
 };
 
-/// Port that delivers an event from within its call, as no port should.
+/// Port that delivers an event from within its call, which ports must not do.
 struct nested_port final : caller_port, diagnostics_port {
     void answer(const caller_answer& /*answer*/) override { on_answer(); }
     void log(const log_decision& /*line*/) override {}
@@ -55,7 +55,7 @@
     test_support::memory_peer_port peers{network, {"127.0.0.1", 1}, vm_id{"a"}, host.sink()};
 };
 
-/// Guards against a node without a deadline that gets no ticks and cannot notice a pause, and
+/// Guards against a node without a deadline that gets no ticks and cannot detect a pause, and
 /// against a deadline in the past that starves the sockets.
 TEST_F(AsioHost, TicksWithoutAndWithAPastDeadline) {
     host.start({nested, backends, store, peers, nested});
@@ -67,7 +67,7 @@
     ASSERT_TRUE(run_until([&] { return served; }));
 }
 
-/// Guards against an event that is handled in the middle of another one's actions.
+/// Guards against an event that is handled while the actions of another one are executed.
 TEST_F(AsioHost, EventsFromWithinAnActionWait) {
     nested.on_answer = [&] {
         const int before = node.ticks;
--- a/tests/adapters/loopback.hpp
+++ b/tests/adapters/loopback.hpp
@@ -13,10 +13,10 @@
 
 namespace jackdawvane::loopback {
 
-/// Longest time that a test waits for something to happen; only a failing test gets there.
+/// Maximum time that a test waits for a condition; only a failing test reaches it.
 constexpr auto patience = std::chrono::seconds{10};
 
-/// Runs @a context until @a condition holds; false when the patience ends first.
+/// Runs @a context until @a condition holds; false on a timeout.
 inline bool run_until(boost::asio::io_context& context, const std::function<bool()>& condition) {
     const auto end = std::chrono::steady_clock::now() + patience;
     context.restart();
@@ -61,7 +61,7 @@
     }
 };
 
-/// Client that sends one request and keeps the answer.
+/// Client that sends one request and stores the answer.
 struct caller {
     caller(boost::asio::io_context& context, const endpoint& remote,
            const std::string& local_address = {})
