--- a/include/jackdawvane/adapters/backend_port_adapter.hpp
+++ b/include/jackdawvane/adapters/backend_port_adapter.hpp
@@ -18,15 +18,15 @@
 
 /// @brief Settings of the connections to backend servers.
 struct backend_port_settings {
-    vm_id self;                ///< Named in the handshake.
-    std::string local_address; ///< Source IP number; empty lets the system choose.
-    duration open_timeout{std::chrono::seconds{1}}; ///< Each of connect and handshake.
+    vm_id self;                ///< Sent in the handshake.
+    std::string local_address; ///< Source IP address; empty lets the system choose.
+    duration open_timeout{std::chrono::seconds{1}}; ///< For connect and handshake each.
 };
 
 /// @brief Connections to backend servers over HTTP.
 ///
-/// Requests have no time limit of their own: the owner of a request closes the connection when
-/// its time is up.
+/// Requests have no timeout here: the owner of a request closes the connection when its deadline
+/// has passed.
 class backend_port_adapter final : public backend_port {
   public:
     backend_port_adapter(boost::asio::io_context& context, backend_port_settings settings,
@@ -45,10 +45,10 @@
     [[nodiscard]] std::size_t connections() const noexcept { return connections_.size(); }
 
   private:
-    void shake_hands(connection_id connection);
+    void send_handshake(connection_id connection);
     void receive(connection_id connection, const std::string& body);
     void fail(connection_id connection, std::string reason);
-    void fail_later(connection_id connection, std::string reason);
+    void post_failure(connection_id connection, std::string reason);
 
     boost::asio::io_context& context_;
     backend_port_settings settings_;
--- a/include/jackdawvane/adapters/caller_api.hpp
+++ b/include/jackdawvane/adapters/caller_api.hpp
@@ -19,23 +19,23 @@
 [[nodiscard]] Json::Value caller_answer_json(const caller_answer& answer);
 
 /// @brief Reads a caller's HTTP request.
-/// @return the request without its `caller`, or the mistake in it
+/// @return the request with `caller` unset, or an error that says what is malformed
 [[nodiscard]] result<caller_request> read_caller_request(const http_request_view& request);
 
-/// @brief Callers and operators over HTTP: requests become events, answers become responses.
+/// @brief HTTP API for callers and operators: turns requests into events, answers into responses.
 class caller_api final : public caller_port {
   public:
     /// @param sink receives `caller_request` and `caller_gone`
     /// @param node asked for readiness and status; has to outlive this object
-    /// @param metrics text of `/metrics`
+    /// @param metrics returns the text served at `/metrics`
     caller_api(event_sink sink, const node_interface& node, std::function<std::string()> metrics);
 
-    /// @brief Handles one request; the handler of the HTTP server.
+    /// @brief Handles one request of the HTTP server.
     void handle(const http_request_view& request, const http_responder& responder);
 
     void answer(const caller_answer& answer) override;
 
-    /// @brief Number of requests that wait for their answer.
+    /// @brief Number of requests that have not been answered yet.
     [[nodiscard]] std::size_t waiting() const noexcept { return waiting_.size(); }
 
   private:
--- a/include/jackdawvane/adapters/decision_logger.hpp
+++ b/include/jackdawvane/adapters/decision_logger.hpp
@@ -29,12 +29,12 @@
         {{log_output::error, "stderr"}, {log_output::output, "stdout"}}};
 };
 
-/// @brief Where log lines go and which ones.
+/// @brief Destination, level and rate limit of the log.
 struct log_settings {
     log_level level{log_level::info};
-    std::string file;                     ///< Empty writes to a standard stream.
-    log_output output{log_output::error}; ///< Stream when there is no file.
-    std::uint32_t lines_per_second{0};    ///< Further lines are counted, not written; 0: all.
+    std::string file;                     ///< Path; empty for a standard stream.
+    log_output output{log_output::error}; ///< Used when `file` is empty.
+    std::uint32_t lines_per_second{0};    ///< Excess lines are only counted; 0: unlimited.
 
     static constexpr auto fields() {
         return std::tuple{field("level", &log_settings::level), field("file", &log_settings::file),
@@ -53,11 +53,11 @@
     decision_logger& operator=(decision_logger&&) = delete;
     ~decision_logger();
 
-    /// @brief Writes @a line unless its level is too low or the second's lines are used up.
+    /// @brief Writes @a line unless its level is disabled or the rate limit is exceeded.
     ///
-    /// The first lines of each kind (part and outcome) are written in any case, so that a second
-    /// with many lines keeps those that explain it. Lines that are left out are counted by kind,
-    /// and the counts are written with the next second.
+    /// The first lines of each kind (part and outcome) in a second are always written, so that
+    /// frequent lines don't displace rare ones. Lines that are left out are counted by kind, and
+    /// the counts are written before the first line of a later second.
     void write(const log_decision& line);
 
   private:
--- a/include/jackdawvane/adapters/http_call_pool.hpp
+++ b/include/jackdawvane/adapters/http_call_pool.hpp
@@ -16,13 +16,13 @@
     std::string target;
     std::string body;
     std::vector<http_header> headers;
-    duration timeout{std::chrono::seconds{2}}; ///< From the submission, waiting included.
+    duration timeout{std::chrono::seconds{2}}; ///< From `submit`, queue time included.
 };
 
-/// @brief Limits of a call pool.
+/// @brief Settings of a call pool.
 struct http_call_pool_settings {
     endpoint remote;
-    std::string local_address; ///< Source IP number; empty for any.
+    std::string local_address; ///< Source IP address; empty for any.
     std::size_t connection_limit{8};
     std::size_t queue_limit{256}; ///< Calls that wait for a connection.
 };
@@ -41,12 +41,12 @@
     http_call_pool& operator=(http_call_pool&&) = delete;
     ~http_call_pool();
 
-    /// @brief Makes a call; @a done gets the answer or an error, never from within this function.
+    /// @brief Submits a call; @a done is called later, not from here, with the answer or an error.
     void submit(http_call call, callback done);
-    /// @brief Later connections go to @a remote.
+    /// @brief Opens further connections to @a remote and closes idle ones.
     void redirect(const endpoint& remote);
 
-    /// @brief Calls that were put on a connection so far.
+    /// @brief Number of calls sent on a connection so far.
     [[nodiscard]] std::uint64_t calls() const noexcept { return calls_; }
 
   private:
--- a/include/jackdawvane/adapters/http_client.hpp
+++ b/include/jackdawvane/adapters/http_client.hpp
@@ -23,7 +23,7 @@
 /// @brief Settings of one client connection.
 struct http_client_settings {
     endpoint remote;
-    std::string local_address; ///< Source IP number; empty lets the system choose.
+    std::string local_address; ///< Source IP address; empty lets the system choose.
     duration connect_timeout{std::chrono::seconds{1}};
     std::size_t body_limit{std::size_t{4} * 1024 *
                            1024}; ///< Bytes; a larger answer closes the connection.
@@ -31,8 +31,8 @@
 
 /// @brief One persistent HTTP/1.1 connection with one request at a time.
 ///
-/// Every error closes the connection for good. Callbacks are never called from within the
-/// functions of this class, and none is called after `close` or destruction.
+/// Any error closes the connection permanently. Callbacks are invoked asynchronously, never from
+/// within the functions of this class, and never after `close` or destruction.
 class http_client {
   public:
     using connect_callback = std::function<void(result<void>)>;
@@ -50,22 +50,22 @@
     void connect(connect_callback done);
 
     /// @brief Sends a request and waits for its answer.
-    /// @param timeout closes the connection with `deadline_exceeded`; none waits without limit
+    /// @param timeout closes the connection with `deadline_exceeded`; none: no limit
     /// @param done gets `connection_lost` when the connection closes before the whole answer
     /// @pre connected and not `busy()`
     void request(std::string_view method, const std::string& target, std::string body,
                  std::optional<duration> timeout, answer_callback done,
                  const std::vector<http_header>& headers = {});
 
-    /// @brief Has @a callback called when the open connection closes while no request waits.
+    /// @brief Sets the callback for a close of the open connection while no request is in flight.
     void on_idle_close(close_callback callback);
 
-    /// @brief Whether a request waits for its answer.
+    /// @brief Whether a request is in flight.
     [[nodiscard]] bool busy() const noexcept;
     /// @brief Whether the connection is open.
     [[nodiscard]] bool connected() const noexcept;
 
-    /// @brief Closes the connection at once.
+    /// @brief Closes the connection immediately.
     void close();
 
   private:
--- a/include/jackdawvane/adapters/http_server.hpp
+++ b/include/jackdawvane/adapters/http_server.hpp
@@ -19,7 +19,7 @@
 struct http_server_state;
 } // namespace detail
 
-/// @brief Answers one request, at once or later; a copy answers the same request.
+/// @brief Responds to one request, immediately or later; copies refer to the same request.
 class http_responder {
   public:
     http_responder() = default;
@@ -29,7 +29,7 @@
     /// @brief Sends @a response; ignored after the first response or when the connection closed.
     void respond(http_response response) const;
 
-    /// @brief Has @a callback called if the connection closes before the response.
+    /// @brief Sets the callback for a connection that closes before the response.
     void on_closed(std::function<void()> callback) const;
 
   private:
@@ -49,13 +49,13 @@
 
 /// @brief HTTP/1.1 server with persistent connections.
 ///
-/// A connection has one request in hand; at most one read buffer of pipelined input is taken
-/// before its response has been sent. All calls and callbacks happen on the context's thread.
+/// A connection handles one request at a time; until its response has been sent, at most one read
+/// buffer of pipelined input is read ahead. All calls and callbacks happen on the context's thread.
 class http_server {
   public:
     using handler = std::function<void(const http_request_view&, http_responder)>;
 
-    /// @throws std::runtime_error when the address cannot be listened on
+    /// @throws std::runtime_error when listening on the address fails
     http_server(boost::asio::io_context& context, const http_server_settings& settings,
                 handler on_request);
     http_server(const http_server&) = delete;
@@ -71,7 +71,7 @@
     /// @brief Number of open connections.
     [[nodiscard]] std::size_t connections() const noexcept;
 
-    /// @brief Stops listening, closes idle connections and lets requests in hand finish.
+    /// @brief Stops listening, closes idle connections and lets requests in flight finish.
     /// @param stopped called once when the last connection has closed
     void stop(std::function<void()> stopped);
 
--- a/include/jackdawvane/adapters/metrics_registry.hpp
+++ b/include/jackdawvane/adapters/metrics_registry.hpp
@@ -7,7 +7,7 @@
 
 namespace jackdawvane {
 
-/// @brief Combines measurements and writes them in the Prometheus text format.
+/// @brief Aggregates measurements and writes them in the Prometheus text format.
 class metrics_registry {
   public:
     metrics_registry();
@@ -17,7 +17,7 @@
     metrics_registry& operator=(metrics_registry&&) = delete;
     ~metrics_registry();
 
-    /// @brief Adds one observation. Each name keeps the kind of its first observation.
+    /// @brief Adds one observation. The first observation of a name sets the kind of the metric.
     /// @complexity logarithmic in the number of label values
     void record(const measurement& value);
 
--- a/include/jackdawvane/adapters/settings_reader.hpp
+++ b/include/jackdawvane/adapters/settings_reader.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 /// @file
-/// @brief Reads a program's settings: JSON with comments, checked as a whole.
+/// @brief Reads a program's settings: JSON with comments, with all errors reported at once.
 ///
 /// A settings structure has a field table, and may have
 /// `static std::vector<const char*> required()` with the keys that have no default and
@@ -18,21 +18,21 @@
 
 namespace jackdawvane {
 
-/// @brief One mistake in a settings file.
+/// @brief One error in a settings file.
 struct settings_problem {
-    std::size_t line{0}; ///< Counted from 1; 0 when the mistake has no place in the text.
+    std::size_t line{0}; ///< Counted from 1; 0 when the error has no position in the text.
     std::string key;     ///< Path of the key.
-    std::string message; ///< What is wrong and what to do.
+    std::string message; ///< What is wrong and how to correct it.
 };
 
-/// @brief Every mistake in a settings file, in the order of the lines.
+/// @brief All errors in a settings file, in the order of the lines.
 using settings_problems = std::vector<settings_problem>;
 
-/// @brief Text with one line `FILE:LINE: KEY MESSAGE` per mistake.
+/// @brief Text with one line `FILE:LINE: KEY MESSAGE` per error.
 [[nodiscard]] std::string describe_problems(const std::string& file,
                                             const settings_problems& problems);
 
-/// @brief Content of @a file; nothing when it cannot be read, with the reason in @a problems.
+/// @brief Content of @a file; on failure nothing, with the reason added to @a problems.
 [[nodiscard]] std::optional<std::string> read_file(const std::string& file,
                                                    settings_problems& problems);
 
@@ -56,7 +56,7 @@
 } // namespace detail
 
 /// @brief Reads settings from @a text.
-/// @return the settings; nothing when there are mistakes, all of which are in @a problems
+/// @return the settings; nothing when there are errors, all of which are in @a problems
 template <class Settings>
 [[nodiscard]] std::optional<Settings> read_settings(std::string_view text,
                                                     settings_problems& problems) {
--- a/include/jackdawvane/adapters/store_port_adapter.hpp
+++ b/include/jackdawvane/adapters/store_port_adapter.hpp
@@ -17,8 +17,8 @@
 /// @brief Settings of the connections to the store.
 struct store_port_settings {
     endpoint store;
-    std::string local_address;                      ///< Source IP number; empty for any.
-    duration call_timeout{std::chrono::seconds{2}}; ///< Besides the call's own `wait`.
+    std::string local_address;                      ///< Source IP address; empty for any.
+    duration call_timeout{std::chrono::seconds{2}}; ///< Added to the call's own `wait`.
     std::size_t connection_limit{8};
     std::size_t queue_limit{256}; ///< Calls that wait for a connection.
 };
@@ -38,13 +38,13 @@
 
     void call(const store_request& request) override;
 
-    /// @brief Calls that were put on a connection so far.
+    /// @brief Number of calls sent on a connection so far.
     [[nodiscard]] std::uint64_t calls() const noexcept { return pool_.calls(); }
-    /// @brief Calls that ended as `unavailable` so far.
+    /// @brief Number of calls that ended as `unavailable` so far.
     [[nodiscard]] std::uint64_t failures() const noexcept { return failures_; }
 
   private:
-    void take(request_id id, const result<http_answer>& received);
+    void handle_answer(request_id id, const result<http_answer>& received);
 
     store_port_settings settings_;
     event_sink sink_;
--- a/src/adapters/backend_port_adapter.cpp
+++ b/src/adapters/backend_port_adapter.cpp
@@ -29,11 +29,11 @@
             fail(id, connected.error().detail);
             return;
         }
-        shake_hands(id);
+        send_handshake(id);
     });
 }
 
-void backend_port_adapter::shake_hands(connection_id connection) {
+void backend_port_adapter::send_handshake(connection_id connection) {
     Json::Value body;
     body["vm"] = settings_.self.str();
     connections_.at(connection)
@@ -61,10 +61,10 @@
     const auto id = request.connection;
     const auto found = connections_.find(id);
     if (found == connections_.end()) {
-        return; // The report that the connection closed is on its way to the node.
+        return; // The node has not yet handled the event for the closed connection.
     }
     if (found->second->busy()) {
-        fail_later(id, "a request was sent before the answer to the last one");
+        post_failure(id, "request sent while another one was in flight on the connection");
         return;
     }
     found->second->request("POST", "/backend", write_json(to_json(request.request)), {},
@@ -105,7 +105,7 @@
     }
 }
 
-void backend_port_adapter::fail_later(connection_id connection, std::string reason) {
+void backend_port_adapter::post_failure(connection_id connection, std::string reason) {
     boost::asio::post(context_, [this, connection, reason = std::move(reason),
                                  alive = std::weak_ptr<bool>{alive_}]() mutable {
         if (!alive.expired()) {
--- a/src/adapters/caller_api.cpp
+++ b/src/adapters/caller_api.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned status_not_run = 503;
 constexpr unsigned status_unknown = 504;
 
-// Kinds that are not listed mean that the request may succeed later: 503.
+// Requests that fail with a kind not listed here may succeed later: 503.
 constexpr std::array kind_statuses{
     kind_status{error_kind::malformed_request, 400},
     kind_status{error_kind::malformed_token, 400},
@@ -37,7 +37,7 @@
 
 constexpr std::int64_t milliseconds_per_second = 1000;
 
-// Retry-After has whole seconds; the body has the exact milliseconds.
+// Retry-After takes whole seconds, rounded up; the body has the exact milliseconds.
 std::string retry_after_seconds(duration value) {
     const auto seconds =
         (to_milliseconds(value) + milliseconds_per_second - 1) / milliseconds_per_second;
--- a/src/adapters/caller_request_reader.cpp
+++ b/src/adapters/caller_request_reader.cpp
@@ -15,8 +15,8 @@
 constexpr std::string_view transactions_prefix = "/v1/transactions/";
 constexpr std::string_view begin_suffix = "/transactions";
 constexpr std::string_view bearer_prefix = "Bearer ";
-// Longer times than a day are mistakes, and would overflow in microseconds.
-constexpr std::int64_t longest_header_ms = std::int64_t{24} * 3600 * 1000;
+// A longer time is taken as an error; very large ones would overflow in microseconds.
+constexpr std::int64_t max_header_ms = std::int64_t{24} * 3600 * 1000;
 
 struct follow_up {
     std::string_view name;
@@ -45,7 +45,7 @@
 }
 
 error unknown_path(std::string_view target) {
-    return malformed("there is nothing at " + std::string{target});
+    return malformed("unknown path " + std::string{target});
 }
 
 result<void> read_route(std::string_view target, caller_request& request) {
@@ -98,7 +98,7 @@
     std::int64_t number{0};
     const char* const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, number);
-    if (parsed.ec != std::errc{} || parsed.ptr != end || number < 0 || number > longest_header_ms) {
+    if (parsed.ec != std::errc{} || parsed.ptr != end || number < 0 || number > max_header_ms) {
         return malformed(std::string{name} + " must be a number of milliseconds up to one day");
     }
     value = from_milliseconds(number);
--- a/src/adapters/decision_logger.cpp
+++ b/src/adapters/decision_logger.cpp
@@ -19,10 +19,10 @@
 
 constexpr long file_size_limit = 10L * 1024 * 1024; // bytes
 constexpr int kept_files = 3;
-/// Lines of each kind that are written in a second in which the others have used up its lines.
-constexpr std::uint32_t kept_of_a_kind = 3;
-/// More kinds of lines than the parts have; the rest of a second counts together.
-constexpr std::size_t most_kinds = 96;
+/// Lines of each kind that are written per second even when the rate limit is exceeded.
+constexpr std::uint32_t min_lines_per_kind = 3;
+/// Above the number of kinds in use; further kinds of a second are counted together as `other`.
+constexpr std::size_t max_kinds = 96;
 constexpr auto line_pattern = "%D{%Y-%m-%dT%H:%M:%S.%q} %p %m%n";
 
 struct line_counts {
@@ -68,14 +68,14 @@
 
 struct decision_logger::backend {
     log4cplus::Logger logger{log4cplus::Logger::getInstance("jackdawvane")};
-    std::uint32_t limit{0}; ///< Lines per second; 0 for all.
+    std::uint32_t limit{0}; ///< Lines per second; 0: unlimited.
     std::chrono::steady_clock::time_point second{};
     std::uint32_t written{0};
     std::map<std::string, line_counts> kinds;
 };
 
 decision_logger::decision_logger(const log_settings& settings) {
-    // log4cplus cannot be initialised a second time after its end.
+    // log4cplus cannot be initialised again after it has been shut down.
     static const log4cplus::Initializer initializer;
     backend_ = std::make_unique<backend>();
     backend_->limit = settings.lines_per_second;
@@ -113,11 +113,11 @@
 bool decision_logger::within_limit(const log_decision& line) {
     auto& kinds = backend_->kinds;
     auto kind = kind_of(line);
-    if (kinds.size() >= most_kinds && !kinds.contains(kind)) {
+    if (kinds.size() >= max_kinds && !kinds.contains(kind)) {
         kind = "other";
     }
     auto& counts = kinds[kind];
-    if (backend_->written >= backend_->limit && counts.written >= kept_of_a_kind) {
+    if (backend_->written >= backend_->limit && counts.written >= min_lines_per_kind) {
         ++counts.left_out;
         return false;
     }
--- a/src/adapters/http_call_pool.cpp
+++ b/src/adapters/http_call_pool.cpp
@@ -100,7 +100,7 @@
     const auto done = std::move(busy.current->done);
     busy.current.reset();
     if (!answer) {
-        // After an error nothing more comes on the connection.
+        // An error has closed the connection.
         busy.client.reset();
     }
     start_next(busy);
--- a/src/adapters/http_client.cpp
+++ b/src/adapters/http_client.cpp
@@ -179,7 +179,7 @@
     }
 }
 
-// One read is pending all the time, so that a closed connection is noticed while idle too.
+// A read is always pending, so that a close is detected on an idle connection too.
 void http_client_connection::read() {
     socket_.async_read_some(buffer_.prepare(read_size),
                             [self = shared_from_this()](error_code failure, std::size_t size) {
--- a/src/adapters/http_session.cpp
+++ b/src/adapters/http_session.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// Thousands of idle connections must fit into memory, while a body needs few reads.
+// Small buffers keep thousands of idle connections within memory; a large one reads a body in
+// few calls.
 constexpr std::size_t idle_read_size = 2048;  // bytes
 constexpr std::size_t body_read_size = 32768; // bytes
 constexpr std::uint32_t write_timeout_s = 10;
@@ -60,7 +61,7 @@
     parser_->header_limit(server_->settings.header_limit);
 }
 
-// One read is pending also while a request is in hand, so that a closed connection is noticed.
+// A read is pending even while a request is handled, so that a close is detected.
 void http_session::read() {
     if (reading_ || phase_ == phase::closed) {
         return;
--- a/src/adapters/http_session.hpp
+++ b/src/adapters/http_session.hpp
@@ -28,13 +28,13 @@
     void respond(std::uint64_t serial, http_response response);
     void on_closed(std::uint64_t serial, std::function<void()> callback);
 
-    /// @brief Closes the connection; reports it when a request is in hand.
+    /// @brief Closes the connection; invokes the `on_closed` callback of a request in flight.
     void close();
-    /// @brief Closes the connection without a report.
+    /// @brief Closes the connection without invoking the `on_closed` callback.
     void discard();
-    /// @brief Closes the connection once no request is in hand.
+    /// @brief Closes the connection as soon as no request is in flight.
     void finish();
-    /// @brief Closes the connection when its phase has lasted too long.
+    /// @brief Closes the connection when the timeout of its phase has expired.
     void sweep(std::uint32_t now_s);
 
   private:
--- a/src/adapters/metrics_registry.cpp
+++ b/src/adapters/metrics_registry.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::string_view prefix = "jackdawvane_";
-// Six buckets per factor of ten between 10 us and 100 s: neighbours differ by 47%.
+// Six buckets per factor of ten between 10 us and 100 s: adjacent bounds differ by 47%.
 constexpr int bucket_count = 42;
 constexpr double lowest_us = 10;
 constexpr double highest_us = 1e8;
@@ -121,12 +121,12 @@
 struct metrics_registry::family {
     metric_kind kind{metric_kind::counter};
     std::string label;
-    std::map<std::string, series> members; ///< By label value.
+    std::map<std::string, series> by_label_value;
 };
 
 struct metrics_registry::families {
     std::map<std::string, family> by_name;
-    /// Names have static storage, so that the address finds the family without comparing text.
+    /// Metric names have static storage, so a family is found by address without comparing text.
     std::unordered_map<const char*, family*> by_address;
 
     family& of(const measurement& value) {
@@ -149,18 +149,18 @@
 
 void metrics_registry::record(const measurement& value) {
     auto& target = families_->of(value);
-    auto& member = target.members[value.label_value];
+    auto& entry = target.by_label_value[value.label_value];
     if (target.kind == metric_kind::gauge) {
-        member.value = value.value;
+        entry.value = value.value;
         return;
     }
-    member.value += value.value;
+    entry.value += value.value;
     if (target.kind == metric_kind::histogram) {
-        if (!member.histogram) {
-            member.histogram =
+        if (!entry.histogram) {
+            entry.histogram =
                 std::make_unique<decltype(make_latency_histogram())>(make_latency_histogram());
         }
-        (*member.histogram)(value.value);
+        (*entry.histogram)(value.value);
     }
 }
 
@@ -168,15 +168,15 @@
     std::string out;
     for (const auto& [name, each] : families_->by_name) {
         append_header(out, name, type_name(each.kind));
-        for (const auto& [label_value, member] : each.members) {
+        for (const auto& [label_value, entry] : each.by_label_value) {
             std::string labels;
             if (!each.label.empty()) {
                 labels = each.label + "=\"" + escape(label_value) + "\"";
             }
-            if (member.histogram) {
-                append_histogram(out, name, labels, member);
+            if (entry.histogram) {
+                append_histogram(out, name, labels, entry);
             } else {
-                append_sample(out, name, labels, member.value);
+                append_sample(out, name, labels, entry.value);
             }
         }
     }
--- a/src/adapters/settings_reader.cpp
+++ b/src/adapters/settings_reader.cpp
@@ -10,18 +10,18 @@
 
 /// @brief Value at the dotted path @a path, or its nearest parent that exists.
 const Json::Value& value_at(const Json::Value& json, std::string_view path) {
-    const auto* present = &json;
-    while (!path.empty() && present->isObject()) {
+    const auto* current = &json;
+    while (!path.empty() && current->isObject()) {
         const auto end = std::min(path.find('.'), path.size());
         const auto name = path.substr(0, std::min(path.find('['), end));
-        const auto* member = present->find(name.data(), name.data() + name.size());
+        const auto* member = current->find(name.data(), name.data() + name.size());
         if (member == nullptr) {
             break;
         }
-        present = member;
+        current = member;
         path.remove_prefix(std::min(end + 1, path.size()));
     }
-    return *present;
+    return *current;
 }
 
 std::size_t line_of(std::string_view text, std::ptrdiff_t offset) {
--- a/src/adapters/store_port_adapter.cpp
+++ b/src/adapters/store_port_adapter.cpp
@@ -29,11 +29,11 @@
     call.body = write_json(to_json(request));
     call.timeout = settings_.call_timeout + request.wait;
     pool_.submit(std::move(call), [this, id = request.id](const result<http_answer>& received) {
-        take(id, received);
+        handle_answer(id, received);
     });
 }
 
-void store_port_adapter::take(request_id id, const result<http_answer>& received) {
+void store_port_adapter::handle_answer(request_id id, const result<http_answer>& received) {
     store_answer answer;
     if (received && received.value().status == 200) {
         const auto json = parse_json(received.value().body);
--- a/tests/adapters/backend_port_test.cpp
+++ b/tests/adapters/backend_port_test.cpp
@@ -15,7 +15,7 @@
 
 using test_support::behaviour;
 
-/// The port under test with the backend server that it talks to.
+/// The port under test, connected to a backend server.
 class bench {
   public:
     bench() = default;
@@ -130,8 +130,8 @@
     }
 };
 
-/// Guards against a request without an end: each failure of the server becomes one
-/// `backend_disconnected`, at the step at which the table says so.
+/// Guards against a request that is never completed: each failure of the server is reported as
+/// one `backend_disconnected`, at the step given in the table.
 TEST_P(BackendPort, FailuresAreReportedOnce) {
     const auto [kind, server] = GetParam();
     const auto tested = make_bench(kind, server);
@@ -160,7 +160,7 @@
 
 class WorkingBackendPort : public BackendPort {};
 
-/// Guards against an answer that is given to another request.
+/// Guards against an answer that is reported for another request.
 TEST_P(WorkingBackendPort, AnswersCarryTheIdOfTheirRequest) {
     const auto tested = make_bench(std::get<0>(GetParam()), behaviour::answer);
     open(*tested);
@@ -171,7 +171,7 @@
     }
 }
 
-/// Guards against a late answer, or a report, for a connection that the node has closed.
+/// Guards against a late answer or disconnect event for a connection that the node has closed.
 TEST_P(WorkingBackendPort, NothingIsReportedAfterClose) {
     const auto tested = make_bench(std::get<0>(GetParam()), behaviour::never_answer);
     open(*tested);
@@ -192,7 +192,7 @@
     ASSERT_TRUE(tested->run_until([&] { return tested->log.count<backend_disconnected>() == 1; }));
 }
 
-/// Guards against a killed backend server that is noticed only by the next request.
+/// Guards against a killed backend server that is detected only by the next request.
 TEST_P(WorkingBackendPort, ACloseWhileIdleIsReported) {
     const auto tested = make_bench(std::get<0>(GetParam()), behaviour::answer);
     open(*tested);
@@ -204,7 +204,7 @@
                          testing::Combine(testing::Values(port_kind::memory, port_kind::loopback),
                                           testing::Values(behaviour::answer)));
 
-/// Guards against connections from an address that the platform's rules do not let through.
+/// Guards against connections from an address that the rules of the platform don't allow.
 TEST(BackendPortAddress, ConnectionsComeFromTheConfiguredAddress) {
     boost::asio::io_context context;
     boost::asio::ip::tcp::acceptor server{context, {boost::asio::ip::make_address("127.0.0.8"), 0}};
--- a/tests/adapters/caller_api_test.cpp
+++ b/tests/adapters/caller_api_test.cpp
@@ -36,7 +36,7 @@
     }
 };
 
-/// Guards against a part of the request that does not reach the node.
+/// Guards against a part of the request that is not passed on to the node.
 TEST(CallerRequest, CarriesEveryPart) {
     const sample_request sample{"/v1/routes/parts",
                                 R"({"partition":"p","mode":"write","statements":["a","b"]})",
@@ -67,7 +67,7 @@
 
 class CallerTarget : public testing::TestWithParam<target_case> {};
 
-/// Guards against a commit that is taken for another step of the transaction.
+/// Guards against a commit that is parsed as another step of the transaction.
 TEST_P(CallerTarget, SelectsTheKind) {
     const auto read = sample_request{GetParam().target, R"({"statements":["a"]})", {}}.read();
     ASSERT_TRUE(read) << read.error().message();
@@ -86,7 +86,7 @@
 
 class MalformedRequest : public testing::TestWithParam<sample_request> {};
 
-/// Guards against a request that runs although a part of it was not understood.
+/// Guards against a request that runs although a part of it could not be parsed.
 TEST_P(MalformedRequest, IsRefused) {
     const auto read = GetParam().read();
     ASSERT_FALSE(read);
@@ -118,7 +118,7 @@
 
 class AnswerStatus : public testing::TestWithParam<status_case> {};
 
-/// Guards against a status from which a client concludes a wrong outcome.
+/// Guards against a status from which a client infers the wrong outcome.
 TEST_P(AnswerStatus, FollowsOutcomeAndKind) {
     caller_answer answer;
     answer.result = GetParam().result;
@@ -176,7 +176,7 @@
     std::optional<http_server> server;
 };
 
-/// Guards against an answer for another caller, an answer sent twice, and an answer to nobody.
+/// Guards against an answer for another caller, an answer sent twice, and one for no caller.
 TEST_F(CallerApi, AnswersAreMatchedByCaller) {
     loopback::caller first{context, server->local_endpoint()};
     loopback::caller second{context, server->local_endpoint()};
@@ -195,7 +195,7 @@
     EXPECT_EQ(api.waiting(), 0U);
 }
 
-/// Guards against work for a caller who has gone.
+/// Guards against work for a caller that has disconnected.
 TEST_F(CallerApi, ReportsACallerThatHasGone) {
     {
         loopback::caller caller{context, server->local_endpoint()};
--- a/tests/adapters/decision_logger_test.cpp
+++ b/tests/adapters/decision_logger_test.cpp
@@ -39,8 +39,8 @@
     std::filesystem::path file;
 };
 
-/// Guards against a bad second that loses just the lines that explain it, and against a volume
-/// that grows with the load.
+/// Guards against a rate limit that drops the rare lines which explain a failure, and against a
+/// log volume that grows with the load.
 TEST_F(DecisionLogger, KeepsTheFirstLinesOfEachKind) {
     log_settings settings;
     settings.file = file.string();
--- a/tests/adapters/http_server_test.cpp
+++ b/tests/adapters/http_server_test.cpp
@@ -44,7 +44,7 @@
     std::optional<http_server> server;
 };
 
-/// Guards against an answer that reaches another caller than the one that asked.
+/// Guards against an answer that is sent to another caller than the one that asked.
 TEST_F(HttpServer, AnswersInAnyOrderReachTheirOwnCallers) {
     loopback::caller first{context, server->local_endpoint()};
     loopback::caller second{context, server->local_endpoint()};
@@ -78,8 +78,8 @@
     EXPECT_EQ(client.answer->value().body, "two");
 }
 
-/// Guards against work that goes on for a caller who has left, and against a crash when the
-/// answer comes after that.
+/// Guards against work that continues for a caller that has disconnected, and against a crash
+/// when the answer comes after that.
 TEST_F(HttpServer, ReportsACallerThatLeavesBeforeTheAnswer) {
     {
         loopback::caller client{context, server->local_endpoint()};
--- a/tests/adapters/settings_reader_test.cpp
+++ b/tests/adapters/settings_reader_test.cpp
@@ -22,7 +22,7 @@
   "peer_secret": "0123456789abcdef"
 })";
 
-/// Guards against settings that do not reach the node.
+/// Guards against settings that are not passed on to the node.
 TEST(Settings, OfTheDaemonBecomeNodeSettings) {
     settings_problems problems;
     const auto settings = read_settings<daemon_settings>(good, problems);
@@ -36,8 +36,8 @@
     EXPECT_EQ(node.lease_duration, node_settings{}.lease_duration);
 }
 
-/// Guards against an operator who corrects one mistake per start: all are reported, each with
-/// its line.
+/// Guards against a reader that reports only the first error, so that the operator needs a start
+/// for each: all are reported, with their lines.
 TEST(Settings, EveryMistakeIsReportedWithItsLine) {
     settings_problems problems;
     const auto settings = read_settings<daemon_settings>(R"({
@@ -65,7 +65,7 @@
     }
 }
 
-/// Guards against a crash on text that is not JSON and on a file that is not there.
+/// Guards against a crash on text that is not JSON and on a file that does not exist.
 TEST(Settings, UnreadableTextIsReported) {
     settings_problems problems;
     EXPECT_FALSE(read_settings<daemon_settings>("{", problems));
--- a/tests/adapters/store_port_test.cpp
+++ b/tests/adapters/store_port_test.cpp
@@ -14,7 +14,7 @@
 
 using test_support::behaviour;
 
-/// Store on loopback; holds its answers when it is told to.
+/// Store on loopback; withholds its answers on request.
 class StorePort : public testing::Test {
   protected:
     void start(behaviour kind, std::size_t connections = 8, std::size_t queue = 256) {
@@ -109,7 +109,7 @@
                     store_case{behaviour::wrong_id, store_status::unavailable},
                     store_case{behaviour::never_answer, store_status::unavailable}));
 
-/// Guards against a slow call, such as a watch, that holds up or mixes up others.
+/// Guards against a slow call, such as a watch, that delays others or gets their answers.
 TEST_F(StorePort, AnswersInAnotherOrderReachTheirCalls) {
     start(behaviour::never_answer);
     call(1);
@@ -123,8 +123,8 @@
     }
 }
 
-/// Guards against connections without limit during a store outage, and against calls that are
-/// forgotten in the queue.
+/// Guards against an unlimited number of connections during a store outage, and against queued
+/// calls that are never completed.
 TEST_F(StorePort, CallsBeyondTheLimitsWaitOrFail) {
     start(behaviour::answer, 1, 2);
     for (std::uint64_t id = 1; id <= 4; ++id) {
