--- a/include/jackdawvane/adapters/proxy_host.hpp
+++ b/include/jackdawvane/adapters/proxy_host.hpp
@@ -29,7 +29,7 @@
     virtual ~promotion_port() = default;
 
     /// @brief Sends @a request; the answer is delivered as event `promotion_answered`.
-    virtual void promote(const promote_member& request) = 0;
+    virtual void promote(const promote_server& request) = 0;
 };
 
 /// @brief Ports of a proxy host.
--- a/include/jackdawvane/adapters/session_codec.hpp
+++ b/include/jackdawvane/adapters/session_codec.hpp
@@ -65,13 +65,13 @@
     [[nodiscard]] virtual caller_line read_caller(std::string_view line) const = 0;
     [[nodiscard]] virtual backend_line read_backend(std::string_view line) const = 0;
     /// @brief Status of a backend server in @a row; nothing when the row contains none.
-    [[nodiscard]] virtual std::optional<member_status> read_status(std::string_view row) const = 0;
+    [[nodiscard]] virtual std::optional<server_status> read_status(std::string_view row) const = 0;
 
     virtual void write_greeting(std::string& out) const = 0;
     virtual void write_reply(const statement_reply& reply, std::string& out) const = 0;
     virtual void write_problem(statement_error problem, std::string_view detail,
                                std::string& out) const = 0;
-    virtual void write_start(const open_member& start, std::string& out) const = 0;
+    virtual void write_start(const open_server_connection& start, std::string& out) const = 0;
     virtual void write_command(const backend_command& command, std::string& out) const = 0;
 };
 
--- a/include/jackdawvane/adapters/session_ports.hpp
+++ b/include/jackdawvane/adapters/session_ports.hpp
@@ -64,8 +64,8 @@
     member_port& operator=(member_port&&) = delete;
     ~member_port();
 
-    void open(const open_member& start);
-    void send(const send_to_member& commands);
+    void open(const open_server_connection& start);
+    void send(const send_to_server& commands);
     void close(connection_id connection);
     [[nodiscard]] std::size_t connections() const noexcept;
 
--- a/include/jackdawvane/node/peer.hpp
+++ b/include/jackdawvane/node/peer.hpp
@@ -343,7 +343,7 @@
 struct member_observation {
     backend_server_id backend;
     group_id group;
-    std::optional<member_status> status; ///< Absent when nothing listens at its address.
+    std::optional<server_status> status; ///< Absent when nothing listens at its address.
     duration age{0}; ///< Time from before the status request until the reply was sent.
 
     static constexpr auto fields() {
--- a/include/jackdawvane/sessions/backend_sessions.hpp
+++ b/include/jackdawvane/sessions/backend_sessions.hpp
@@ -93,9 +93,9 @@
     void discard(connection_id connection, proxy_output& out);
 
     /// @return whether the connection belongs to this pool, as for `on_closed` and `on_reply`
-    bool on_ready(time_point now, const member_ready& ready, proxy_output& out);
-    bool on_closed(time_point now, const member_closed& closed, proxy_output& out);
-    bool on_reply(time_point now, const member_replied& replied, proxy_output& out);
+    bool on_ready(time_point now, const server_connected& ready, proxy_output& out);
+    bool on_closed(time_point now, const server_disconnected& closed, proxy_output& out);
+    bool on_reply(time_point now, const server_replied& replied, proxy_output& out);
     void tick(time_point now, proxy_output& out);
 
     /// @brief Attempts that have ended since the last call.
@@ -154,7 +154,8 @@
     [[nodiscard]] static bool overdue(time_point now, const pooled_session& session);
     void become_idle(time_point now, connection_id id, proxy_output& out);
     void erase(connection_id id);
-    void fail_open_attempts(connection_id id, pooled_session& session, const member_closed& closed);
+    void fail_open_attempts(connection_id id, pooled_session& session,
+                            const server_disconnected& closed);
     [[nodiscard]] std::uint32_t max_connections(const backend_registration& backend,
                                                 double fraction) const;
     [[nodiscard]] std::uint32_t open_limit(time_point now,
--- a/include/jackdawvane/sessions/fleet_state.hpp
+++ b/include/jackdawvane/sessions/fleet_state.hpp
@@ -28,7 +28,7 @@
     /// @brief Leadership of @a group; created on first use.
     group_leadership& leadership(const group_id& group) { return leaderships[group]; }
 
-    /// @brief Copies the members of all groups from the directory to their leaderships.
+    /// @brief Copies the backend servers of all groups from the directory to their leaderships.
     void follow_directory() {
         for (const auto& group : directory.groups()) {
             leaderships[group].set_members(directory.members(group));
--- a/include/jackdawvane/sessions/group_leadership.hpp
+++ b/include/jackdawvane/sessions/group_leadership.hpp
@@ -35,13 +35,13 @@
     /// @brief Sets the registered backend servers of the group.
     void set_members(std::set<backend_server_id> members);
 
-    /// @brief Applies a status of @a member for which the request was sent at @a requested_at.
-    void on_status(time_point now, time_point requested_at, const backend_server_id& member,
-                   const member_status& status);
-    /// @brief Records that @a member refused a connection attempt that began at @a requested_at.
-    void on_refused(time_point requested_at, const backend_server_id& member);
+    /// @brief Applies a status of @a server for which the request was sent at @a requested_at.
+    void on_status(time_point now, time_point requested_at, const backend_server_id& server,
+                   const server_status& status);
+    /// @brief Records that @a server refused a connection attempt that began at @a requested_at.
+    void on_refused(time_point requested_at, const backend_server_id& server);
     /// @brief Applies the log position from an answer to a statement sent at @a requested_at.
-    void on_position(time_point requested_at, const backend_server_id& member,
+    void on_position(time_point requested_at, const backend_server_id& server,
                      const log_point& position);
     /// @brief Records that all replicas have been held for a term after @a closed since @a since or
     /// earlier.
@@ -68,8 +68,8 @@
     /// @brief Newest known log position of the primary.
     [[nodiscard]] std::optional<log_point> newest_point() const noexcept;
 
-    /// @brief Newest log position that @a member is known to have received.
-    [[nodiscard]] std::optional<log_point> received(const backend_server_id& member) const;
+    /// @brief Newest log position that @a server is known to have received.
+    [[nodiscard]] std::optional<log_point> received(const backend_server_id& server) const;
 
     /// @brief Whether the last known primary has reported that it is now a replica.
     [[nodiscard]] bool stepped_down() const noexcept { return stepped_down_; }
--- a/include/jackdawvane/sessions/group_observer.hpp
+++ b/include/jackdawvane/sessions/group_observer.hpp
@@ -61,7 +61,7 @@
 struct control_answer {
     backend_server_id backend;
     command_kind command{command_kind::status};
-    std::optional<member_status> status; ///< Absent when the command returned no row.
+    std::optional<server_status> status; ///< Absent when the command returned no row.
 };
 
 /// @brief Keeps this VM's information about backend servers up to date.
@@ -100,9 +100,9 @@
     void query_awaited(time_point now, proxy_output& out);
 
     /// @return whether the connection is one of the control connections
-    bool on_ready(time_point now, const member_ready& ready, proxy_output& out);
-    bool on_closed(time_point now, const member_closed& closed, proxy_output& out);
-    bool on_reply(time_point now, const member_replied& replied, proxy_output& out);
+    bool on_ready(time_point now, const server_connected& ready, proxy_output& out);
+    bool on_closed(time_point now, const server_disconnected& closed, proxy_output& out);
+    bool on_reply(time_point now, const server_replied& replied, proxy_output& out);
     bool on_store(time_point now, const store_answer& answer, proxy_output& out);
     void on_query(time_point now, const vm_id& from, const observation_query& query,
                   proxy_output& out);
@@ -138,7 +138,7 @@
     };
     struct observation {
         time_point requested_at{};
-        std::optional<member_status> status;
+        std::optional<server_status> status;
     };
 
     void choose_roles(time_point now);
@@ -165,7 +165,7 @@
                                                const backend_directory::entry& entry) const;
     void poll_server(time_point now, const backend_directory::entry& entry, control_connection& own,
                      proxy_output& out);
-    void open(time_point now, const backend_registration& member, control_connection& own,
+    void open(time_point now, const backend_registration& server, control_connection& own,
               proxy_output& out);
     void disconnect(time_point now, control_connection& own, proxy_output& out);
     void expire_queries(time_point now, proxy_output& out);
--- a/include/jackdawvane/sessions/messages.hpp
+++ b/include/jackdawvane/sessions/messages.hpp
@@ -145,7 +145,7 @@
 };
 
 /// @brief State that a backend server reports about itself and its group.
-struct member_status {
+struct server_status {
     backend_role role{backend_role::replica};
     jackdawvane::term term; ///< Highest term that it knows.
     log_point received;     ///< End of the log that it has received.
@@ -156,7 +156,7 @@
     std::uint32_t connections{0};
 
     static constexpr auto fields() {
-        using self = member_status;
+        using self = server_status;
         return std::tuple{field("role", &self::role),
                           field("term", &self::term),
                           field("received", &self::received),
@@ -165,7 +165,7 @@
                           field("busy", &self::busy),
                           field("connections", &self::connections)};
     }
-    friend bool operator==(const member_status&, const member_status&) = default;
+    friend bool operator==(const server_status&, const server_status&) = default;
 };
 
 /// @brief Type of a command that the proxy sends to a backend server.
--- a/include/jackdawvane/sessions/ports.hpp
+++ b/include/jackdawvane/sessions/ports.hpp
@@ -36,7 +36,7 @@
 };
 
 /// @brief A backend server accepted a connection.
-struct member_ready {
+struct server_connected {
     connection_id connection;
     std::optional<log_point> position;
 };
@@ -53,17 +53,17 @@
 [[nodiscard]] const char* to_string(close_reason reason) noexcept;
 
 /// @brief A connection to a backend server ended or could not be opened.
-struct member_closed {
+struct server_disconnected {
     connection_id connection;
     close_reason reason{close_reason::lost};
     statement_error problem{statement_error::none}; ///< Set if rejected.
 };
 
 /// @brief Reply of a backend server to the oldest unanswered command of a connection.
-struct member_replied {
+struct server_replied {
     connection_id connection;
     statement_reply reply;
-    std::optional<member_status> status; ///< Set if the reply has a status row.
+    std::optional<server_status> status; ///< Set if the reply has a status row.
 };
 
 /// @brief The platform answered a promotion request.
@@ -76,9 +76,9 @@
 
 /// @brief Any event that a host reports to a session proxy.
 using proxy_event =
-    std::variant<session_started, statement_received, session_broken, session_closed, member_ready,
-                 member_closed, member_replied, promotion_answered, store_answer, peer_received,
-                 peer_disconnected, stop_requested, timer_tick>;
+    std::variant<session_started, statement_received, session_broken, session_closed,
+                 server_connected, server_disconnected, server_replied, promotion_answered,
+                 store_answer, peer_received, peer_disconnected, stop_requested, timer_tick>;
 
 /// @brief Confirm to a caller that its session is open.
 struct greet_session {
@@ -104,7 +104,7 @@
 };
 
 /// @brief Open a connection to a backend server on behalf of an organisation.
-struct open_member {
+struct open_server_connection {
     connection_id connection;
     jackdawvane::endpoint endpoint;
     group_id group;
@@ -113,18 +113,18 @@
 };
 
 /// @brief Send commands on a connection in one write, once the connection is open.
-struct send_to_member {
+struct send_to_server {
     connection_id connection;
     std::vector<backend_command> commands;
 };
 
 /// @brief Close a connection at once; no event follows for it.
-struct close_member {
+struct close_server_connection {
     connection_id connection;
 };
 
 /// @brief Ask the platform to promote a backend server to primary of its group.
-struct promote_member {
+struct promote_server {
     group_id group;
     backend_server_id backend;
     vm_id holder;           ///< VM that is the failover coordinator.
@@ -132,8 +132,9 @@
 };
 
 /// @brief Any action that a session proxy requests of its host, except the common actions.
-using session_action = std::variant<greet_session, answer_statement, reject_session, end_session,
-                                    open_member, send_to_member, close_member, promote_member>;
+using session_action =
+    std::variant<greet_session, answer_statement, reject_session, end_session,
+                 open_server_connection, send_to_server, close_server_connection, promote_server>;
 
 /// @brief Actions that result from one event.
 struct proxy_output {
--- a/include/jackdawvane/sessions/promotion_duty.hpp
+++ b/include/jackdawvane/sessions/promotion_duty.hpp
@@ -118,7 +118,7 @@
     std::map<group_id, time_point> no_primary_since_; ///< Groups without a usable primary.
     std::map<group_id, time_point> next_attempt_at_;  ///< Earliest start of a group's next attempt.
     std::map<backend_server_id, time_point> reconciled_at_;
-    std::map<backend_server_id, member_status> last_status_;
+    std::map<backend_server_id, server_status> last_status_;
 };
 
 } // namespace jackdawvane
--- a/include/jackdawvane/sessions/session_proxy.hpp
+++ b/include/jackdawvane/sessions/session_proxy.hpp
@@ -76,9 +76,9 @@
     void on(time_point now, const statement_received& input, proxy_output& out);
     void on(time_point now, const session_broken& input, proxy_output& out);
     void on(time_point now, const session_closed& input, proxy_output& out);
-    void on(time_point now, const member_ready& input, proxy_output& out);
-    void on(time_point now, const member_closed& input, proxy_output& out);
-    void on(time_point now, const member_replied& input, proxy_output& out);
+    void on(time_point now, const server_connected& input, proxy_output& out);
+    void on(time_point now, const server_disconnected& input, proxy_output& out);
+    void on(time_point now, const server_replied& input, proxy_output& out);
     void on(time_point now, const promotion_answered& input, proxy_output& out);
     void on(time_point now, const store_answer& input, proxy_output& out);
     void on(time_point now, const peer_received& input, proxy_output& out);
--- a/src/adapters/member_port.cpp
+++ b/src/adapters/member_port.cpp
@@ -15,8 +15,8 @@
         : context_{context}, settings_{std::move(settings)}, codec_{codec}, sink_{std::move(sink)} {
     }
 
-    void open(const open_member& start);
-    void send(const send_to_member& commands);
+    void open(const open_server_connection& start);
+    void send(const send_to_server& commands);
     void close(connection_id connection);
     void stop();
     [[nodiscard]] std::size_t connections() const noexcept { return servers_.size(); }
@@ -27,7 +27,7 @@
         bool started{false};
         std::optional<answer_problem> start_problem;
         statement_reply reply; ///< Lines of the current answer.
-        std::optional<member_status> status;
+        std::optional<server_status> status;
     };
 
     void handle_line(connection_id id, std::string_view line);
@@ -41,7 +41,7 @@
     std::unordered_map<connection_id, server_state> servers_;
 };
 
-void member_port::implementation::open(const open_member& start) {
+void member_port::implementation::open(const open_server_connection& start) {
     auto stream = std::make_shared<detail::line_stream>(context_, settings_.line_limit);
     const std::weak_ptr<implementation> weak = weak_from_this();
     const auto id = start.connection;
@@ -62,7 +62,7 @@
     stream->connect(start.endpoint, settings_.local_address);
 }
 
-void member_port::implementation::send(const send_to_member& commands) {
+void member_port::implementation::send(const send_to_server& commands) {
     const auto found = servers_.find(commands.connection);
     if (found == servers_.end()) {
         return;
@@ -109,13 +109,13 @@
                                                const answer_ready& ready) {
     if (!server.started) {
         server.started = true;
-        sink_(member_ready{id, ready.position});
+        sink_(server_connected{id, ready.position});
         return;
     }
     auto reply = std::exchange(server.reply, {});
     reply.state = ready.state;
     reply.position = ready.position;
-    sink_(member_replied{id, std::move(reply), std::exchange(server.status, {})});
+    sink_(server_replied{id, std::move(reply), std::exchange(server.status, {})});
 }
 
 void member_port::implementation::on_stream_end(connection_id id, detail::stream_end reason) {
@@ -123,7 +123,7 @@
     if (found == servers_.end()) {
         return;
     }
-    member_closed closed{id, close_reason::lost, statement_error::none};
+    server_disconnected closed{id, close_reason::lost, statement_error::none};
     if (found->second.start_problem) {
         closed.reason = close_reason::rejected;
         closed.problem = found->second.start_problem->problem;
@@ -159,11 +159,11 @@
     implementation_->stop();
 }
 
-void member_port::open(const open_member& start) {
+void member_port::open(const open_server_connection& start) {
     implementation_->open(start);
 }
 
-void member_port::send(const send_to_member& commands) {
+void member_port::send(const send_to_server& commands) {
     implementation_->send(commands);
 }
 
--- a/src/adapters/proxy_host.cpp
+++ b/src/adapters/proxy_host.cpp
@@ -26,10 +26,12 @@
         ports.sessions.reject(value.session, value.problem, value.detail);
     }
     void operator()(const end_session& value) const { ports.sessions.end(value.session); }
-    void operator()(const open_member& value) const { ports.servers.open(value); }
-    void operator()(const send_to_member& value) const { ports.servers.send(value); }
-    void operator()(const close_member& value) const { ports.servers.close(value.connection); }
-    void operator()(const promote_member& value) const { ports.promotions.promote(value); }
+    void operator()(const open_server_connection& value) const { ports.servers.open(value); }
+    void operator()(const send_to_server& value) const { ports.servers.send(value); }
+    void operator()(const close_server_connection& value) const {
+        ports.servers.close(value.connection);
+    }
+    void operator()(const promote_server& value) const { ports.promotions.promote(value); }
 };
 
 /// Ignores the actions that only the HTTP node emits, never a session proxy.
--- a/src/core/sessions/backend_session_acquire.cpp
+++ b/src/core/sessions/backend_session_acquire.cpp
@@ -155,8 +155,8 @@
     session.opened_at = session.last_received = now;
     ++load.open;
     ++load.opening;
-    out.sessions.emplace_back(
-        open_member{id, entry->registration.endpoint, session.group, needs.organisation, backend});
+    out.sessions.emplace_back(open_server_connection{id, entry->registration.endpoint,
+                                                     session.group, needs.organisation, backend});
     count(out.common, "member_connections_opened_total");
     return id;
 }
--- a/src/core/sessions/backend_sessions.cpp
+++ b/src/core/sessions/backend_sessions.cpp
@@ -110,7 +110,7 @@
         commands.push_back(std::move(main));
         expect_reply(now, session, reply_kind::main, attempt);
     }
-    out.sessions.emplace_back(send_to_member{connection, std::move(commands)});
+    out.sessions.emplace_back(send_to_server{connection, std::move(commands)});
 }
 
 void backend_sessions::finish_running(const pooled_session& session, const expected_reply& ended) {
@@ -125,7 +125,7 @@
            (!session.expected_replies.empty() || session.pending_main);
 }
 
-bool backend_sessions::on_ready(time_point now, const member_ready& ready, proxy_output& out) {
+bool backend_sessions::on_ready(time_point now, const server_connected& ready, proxy_output& out) {
     const auto found = sessions_.find(ready.connection);
     if (found == sessions_.end()) {
         return false;
@@ -139,13 +139,13 @@
     if (std::exchange(session.main_waits_for_open, false) && session.pending_main) {
         expect_reply(now, session, reply_kind::main, session.pending_attempt);
         out.sessions.emplace_back(
-            send_to_member{ready.connection, {std::move(*session.pending_main)}});
+            send_to_server{ready.connection, {std::move(*session.pending_main)}});
         session.pending_main.reset();
     }
     return true;
 }
 
-bool backend_sessions::on_reply(time_point now, const member_replied& replied, proxy_output& out) {
+bool backend_sessions::on_reply(time_point now, const server_replied& replied, proxy_output& out) {
     const auto found = sessions_.find(replied.connection);
     if (found == sessions_.end()) {
         return false;
@@ -158,7 +158,7 @@
         return true;
     }
     if (session.pending_main && overdue(now, session)) {
-        out.sessions.emplace_back(close_member{replied.connection});
+        out.sessions.emplace_back(close_server_connection{replied.connection});
         on_closed(now, {replied.connection, close_reason::timeout, statement_error::none}, out);
         return true;
     }
@@ -182,14 +182,15 @@
                                 true, false, false});
         } else {
             expect_reply(now, session, reply_kind::main, ended.attempt);
-            out.sessions.emplace_back(send_to_member{replied.connection, {std::move(main)}});
+            out.sessions.emplace_back(send_to_server{replied.connection, {std::move(main)}});
         }
     } else if (failed) {
         // After a failed reset, set, prepare or rollback the session state is unknown.
         log(out.common, log_part, log_level::warning,
             "session setup or rollback failed backend=" + session.backend.str() +
                 " text=" + replied.reply.detail);
-        const member_closed lost{replied.connection, close_reason::lost, statement_error::none};
+        const server_disconnected lost{replied.connection, close_reason::lost,
+                                       statement_error::none};
         fail_open_attempts(replied.connection, session, lost);
         discard(replied.connection, out);
         return true;
@@ -201,7 +202,7 @@
 }
 
 void backend_sessions::fail_open_attempts(connection_id id, pooled_session& session,
-                                          const member_closed& closed) {
+                                          const server_disconnected& closed) {
     attempt_id reported;
     for (const auto& each : session.expected_replies) {
         finish_running(session, each);
@@ -231,7 +232,8 @@
     session.pending_main.reset();
 }
 
-bool backend_sessions::on_closed(time_point now, const member_closed& closed, proxy_output& out) {
+bool backend_sessions::on_closed(time_point now, const server_disconnected& closed,
+                                 proxy_output& out) {
     const auto found = sessions_.find(closed.connection);
     if (found == sessions_.end()) {
         return false;
@@ -272,7 +274,7 @@
         backend_command rollback;
         rollback.kind = command_kind::rollback;
         expect_reply(now, session, reply_kind::rollback, {});
-        out.sessions.emplace_back(send_to_member{connection, {std::move(rollback)}});
+        out.sessions.emplace_back(send_to_server{connection, {std::move(rollback)}});
     }
     if (session.expected_replies.empty()) {
         become_idle(now, connection, out);
@@ -301,7 +303,7 @@
     for (const auto& each : found->second.expected_replies) {
         finish_running(found->second, each);
     }
-    out.sessions.emplace_back(close_member{connection});
+    out.sessions.emplace_back(close_server_connection{connection});
     erase(connection);
 }
 
@@ -341,7 +343,7 @@
         discard(id, out);
     }
     for (const auto id : failing) {
-        out.sessions.emplace_back(close_member{id});
+        out.sessions.emplace_back(close_server_connection{id});
         on_closed(now, {id, close_reason::timeout, statement_error::none}, out);
     }
 }
--- a/src/core/sessions/group_leadership.cpp
+++ b/src/core/sessions/group_leadership.cpp
@@ -15,17 +15,17 @@
 }
 
 void group_leadership::on_status(time_point now, time_point requested_at,
-                                 const backend_server_id& member, const member_status& status) {
-    auto& own = evidence_[member];
+                                 const backend_server_id& server, const server_status& status) {
+    auto& own = evidence_[server];
     if (requested_at < own.requested_at) {
         return;
     }
     highest_ = std::max({highest_, status.term, status.held_term});
-    received_[member] = status.received;
+    received_[server] = status.received;
     if (status.role == backend_role::primary && status.term > term_) {
-        start_term(now, status.term, member);
+        start_term(now, status.term, server);
     }
-    if (primary_ == member && status.term == term_) {
+    if (primary_ == server && status.term == term_) {
         stepped_down_ = status.role != backend_role::primary;
         primary_seen_ = std::max(primary_seen_, requested_at);
         // VMs commit in a term only after all proofs of earlier terms have expired.
@@ -36,7 +36,7 @@
     own = {requested_at, status.term <= term_ && status.held_term <= term_,
            status.held_term > term_, false};
     update_proof();
-    if (primary_ == member && status.role == backend_role::primary) {
+    if (primary_ == server && status.role == backend_role::primary) {
         add_sample(requested_at, status.received);
     }
 }
@@ -52,13 +52,13 @@
     confirmed_at_ = time_point::min();
     primary_seen_ = time_point::min();
     samples_.clear();
-    for (auto& [member, own] : evidence_) {
+    for (auto& [server, own] : evidence_) {
         own.supports_primary = false;
     }
 }
 
-void group_leadership::on_refused(time_point requested_at, const backend_server_id& member) {
-    auto& own = evidence_[member];
+void group_leadership::on_refused(time_point requested_at, const backend_server_id& server) {
+    auto& own = evidence_[server];
     if (requested_at >= own.requested_at) {
         own = {requested_at, false, false, true};
         update_proof();
@@ -77,12 +77,12 @@
 void group_leadership::update_proof() {
     auto all_down = time_point::max();
     bool others = false;
-    for (const auto& member : members_) {
-        if (primary_ == member) {
+    for (const auto& server : members_) {
+        if (primary_ == server) {
             continue;
         }
         others = true;
-        const auto found = evidence_.find(member);
+        const auto found = evidence_.find(server);
         if (found == evidence_.end()) {
             all_down = time_point::min();
             continue;
@@ -118,10 +118,10 @@
                         [](const auto& entry) { return entry.second.held; });
 }
 
-void group_leadership::on_position(time_point requested_at, const backend_server_id& member,
+void group_leadership::on_position(time_point requested_at, const backend_server_id& server,
                                    const log_point& position) {
-    received_[member] = position;
-    if (primary_ == member && !stepped_down_) {
+    received_[server] = position;
+    if (primary_ == server && !stepped_down_) {
         primary_seen_ = std::max(primary_seen_, requested_at);
         add_sample(requested_at, position);
     }
@@ -154,8 +154,8 @@
     return samples_.empty() ? std::nullopt : std::optional{samples_.back().point};
 }
 
-std::optional<log_point> group_leadership::received(const backend_server_id& member) const {
-    const auto found = received_.find(member);
+std::optional<log_point> group_leadership::received(const backend_server_id& server) const {
+    const auto found = received_.find(server);
     return found == received_.end() ? std::nullopt : std::optional{found->second};
 }
 
--- a/src/core/sessions/group_observer.cpp
+++ b/src/core/sessions/group_observer.cpp
@@ -207,16 +207,16 @@
 backend_server_id group_observer::proving_replica(const group_id& group) const {
     const auto& leadership = state_.leaderships.at(group);
     backend_server_id chosen;
-    for (const auto& member : state_.directory.members(group)) {
-        const auto own = controls_.find(member);
+    for (const auto& server : state_.directory.members(group)) {
+        const auto own = controls_.find(server);
         const bool answers = own != controls_.end() && own->second.open;
-        if (leadership.primary() == member || !answers) {
+        if (leadership.primary() == server || !answers) {
             continue;
         }
-        const auto* entry = state_.directory.find(member);
+        const auto* entry = state_.directory.find(server);
         const bool near = state_.region_of(entry->registration.domain) == state_.self.place.region;
         if (chosen.empty() || near) {
-            chosen = member;
+            chosen = server;
         }
     }
     return chosen;
@@ -259,7 +259,7 @@
     }
 }
 
-void group_observer::open(time_point now, const backend_registration& member,
+void group_observer::open(time_point now, const backend_registration& server,
                           control_connection& own, proxy_output& out) {
     if (!state_.configuration || state_.configuration->organisations.empty()) {
         return;
@@ -268,10 +268,10 @@
     own.open = false;
     own.opened_at = now;
     own.next_status = now;
-    by_connection_[own.connection] = member.backend;
-    out.sessions.emplace_back(open_member{own.connection, member.endpoint, member.group,
-                                          state_.configuration->organisations.begin()->first,
-                                          member.backend});
+    by_connection_[own.connection] = server.backend;
+    out.sessions.emplace_back(
+        open_server_connection{own.connection, server.endpoint, server.group,
+                               state_.configuration->organisations.begin()->first, server.backend});
 }
 
 void group_observer::disconnect(time_point now, control_connection& own, proxy_output& out) {
@@ -279,7 +279,7 @@
         return;
     }
     by_connection_.erase(own.connection);
-    out.sessions.emplace_back(close_member{own.connection});
+    out.sessions.emplace_back(close_server_connection{own.connection});
     own.connection = connection_id{};
     own.open = false;
     own.sent.clear();
@@ -293,11 +293,11 @@
         return false;
     }
     found->second.sent.push_back({command.kind, now});
-    out.sessions.emplace_back(send_to_member{found->second.connection, {std::move(command)}});
+    out.sessions.emplace_back(send_to_server{found->second.connection, {std::move(command)}});
     return true;
 }
 
-bool group_observer::on_ready(time_point /*now*/, const member_ready& ready,
+bool group_observer::on_ready(time_point /*now*/, const server_connected& ready,
                               proxy_output& /*out*/) {
     const auto found = by_connection_.find(ready.connection);
     if (found == by_connection_.end()) {
@@ -307,7 +307,8 @@
     return true;
 }
 
-bool group_observer::on_closed(time_point now, const member_closed& closed, proxy_output& out) {
+bool group_observer::on_closed(time_point now, const server_disconnected& closed,
+                               proxy_output& out) {
     const auto found = by_connection_.find(closed.connection);
     if (found == by_connection_.end()) {
         return false;
@@ -335,7 +336,7 @@
     return true;
 }
 
-bool group_observer::on_reply(time_point now, const member_replied& replied, proxy_output& out) {
+bool group_observer::on_reply(time_point now, const server_replied& replied, proxy_output& out) {
     const auto found = by_connection_.find(replied.connection);
     if (found == by_connection_.end()) {
         return false;
@@ -376,7 +377,7 @@
 void group_observer::leave(proxy_output& out) {
     for (auto& [backend, own] : controls_) {
         if (own.connection != connection_id{}) {
-            out.sessions.emplace_back(close_member{own.connection});
+            out.sessions.emplace_back(close_server_connection{own.connection});
         }
     }
     controls_.clear();
--- a/src/core/sessions/promotion_duty.cpp
+++ b/src/core/sessions/promotion_duty.cpp
@@ -95,8 +95,8 @@
     }
     if (entry->registration.leaving && silent_for < settings_.primary_timeout) {
         const bool has_successor =
-            std::any_of(members.begin(), members.end(), [&](const auto& member) {
-                return member != *primary && !state_.directory.find(member)->registration.leaving;
+            std::any_of(members.begin(), members.end(), [&](const auto& server) {
+                return server != *primary && !state_.directory.find(server)->registration.leaving;
             });
         planned = has_successor;
         return has_successor ? std::optional<std::string>{"primary is leaving"} : std::nullopt;
@@ -202,9 +202,9 @@
 
 void promotion_duty::advance_catch_up(time_point now, const group_id& group, attempt& current,
                                       proxy_output& out) {
-    const auto caught_up = [&](const backend_server_id& member) {
-        const auto found = last_status_.find(member);
-        return found != last_status_.end() && member != *current.old_primary &&
+    const auto caught_up = [&](const backend_server_id& server) {
+        const auto found = last_status_.find(server);
+        return found != last_status_.end() && server != *current.old_primary &&
                found->second.received >= *current.old_primary_log_end;
     };
     const auto members = state_.directory.members(group);
@@ -214,8 +214,8 @@
     }
     if (now >= current.next_status) {
         current.next_status = now + settings_.status_interval;
-        for (const auto& member : members) {
-            send(now, member, command_kind::status, {}, out);
+        for (const auto& server : members) {
+            send(now, server, command_kind::status, {}, out);
         }
     }
 }
@@ -226,15 +226,15 @@
     current.step_until = now + (current.old_primary_inactive || current.old_primary_log_end
                                     ? settings_.short_hold_timeout
                                     : settings_.hold_timeout);
-    for (const auto& member : state_.directory.members(group)) {
-        if (current.old_primary == member) {
+    for (const auto& server : state_.directory.members(group)) {
+        if (current.old_primary == server) {
             if (!current.old_primary_log_end) {
-                send(now, member, command_kind::step_down, current.target_term, out);
+                send(now, server, command_kind::step_down, current.target_term, out);
             }
             continue;
         }
-        current.replicas[member] = std::nullopt;
-        send(now, member, command_kind::hold, current.target_term, out);
+        current.replicas[server] = std::nullopt;
+        send(now, server, command_kind::hold, current.target_term, out);
     }
     current.next_status = now + settings_.retry_delay;
 }
@@ -274,9 +274,9 @@
     if (!all && now < current.step_until) {
         if (now >= current.next_status) {
             current.next_status = now + settings_.retry_delay;
-            for (const auto& [member, point] : current.replicas) {
+            for (const auto& [server, point] : current.replicas) {
                 if (!point) {
-                    send(now, member, command_kind::hold, current.target_term, out);
+                    send(now, server, command_kind::hold, current.target_term, out);
                 }
             }
         }
@@ -316,15 +316,15 @@
 std::optional<backend_server_id> promotion_duty::best_candidate(const attempt& current) const {
     std::optional<backend_server_id> best;
     std::pair<log_point, bool> best_rank;
-    for (const auto& [member, point] : current.replicas) {
-        if (!point || current.not_running_servers.contains(member)) {
+    for (const auto& [server, point] : current.replicas) {
+        if (!point || current.not_running_servers.contains(server)) {
             continue;
         }
-        const auto* entry = state_.directory.find(member);
+        const auto* entry = state_.directory.find(server);
         const bool stays = entry != nullptr && !entry->registration.leaving;
         const std::pair rank{*point, stays};
         if (!best || rank > best_rank) {
-            best = member;
+            best = server;
             best_rank = rank;
         }
     }
@@ -351,7 +351,7 @@
     current.candidate = *candidate;
     current.step = phase::promote;
     current.step_until = now + settings_.call_timeout;
-    out.sessions.emplace_back(promote_member{group, *candidate, state_.self.vm, lease_.fence()});
+    out.sessions.emplace_back(promote_server{group, *candidate, state_.self.vm, lease_.fence()});
     log(out.common, log_part, log_level::info,
         in_group(group, "promote backend=" + candidate->str() +
                             " fence=" + std::to_string(lease_.fence()) +
@@ -387,11 +387,11 @@
                                             proxy_output& out) {
     const auto& leadership = state_.leadership(group);
     if (leadership.primary() == current.candidate && leadership.term() > current.old_term) {
-        for (const auto& [member, point] : current.replicas) {
-            const auto status = last_status_.find(member);
-            if (member != current.candidate && status != last_status_.end() &&
+        for (const auto& [server, point] : current.replicas) {
+            const auto status = last_status_.find(server);
+            if (server != current.candidate && status != last_status_.end() &&
                 status->second.held_term > term{}) {
-                send(now, member, command_kind::resume, {}, out);
+                send(now, server, command_kind::resume, {}, out);
             }
         }
         const auto log_end = last_status_[current.candidate].received;
--- a/src/core/sessions/session_proxy.cpp
+++ b/src/core/sessions/session_proxy.cpp
@@ -297,19 +297,19 @@
     executor_.on(now, input, out);
 }
 
-void session_proxy::on(time_point now, const member_ready& input, proxy_output& out) {
+void session_proxy::on(time_point now, const server_connected& input, proxy_output& out) {
     if (!observer_.on_ready(now, input, out)) {
         backends_.on_ready(now, input, out);
     }
 }
 
-void session_proxy::on(time_point now, const member_closed& input, proxy_output& out) {
+void session_proxy::on(time_point now, const server_disconnected& input, proxy_output& out) {
     if (!observer_.on_closed(now, input, out)) {
         backends_.on_closed(now, input, out);
     }
 }
 
-void session_proxy::on(time_point now, const member_replied& input, proxy_output& out) {
+void session_proxy::on(time_point now, const server_replied& input, proxy_output& out) {
     if (!observer_.on_reply(now, input, out)) {
         backends_.on_reply(now, input, out);
     }
--- a/src/core/sessions/statement_results.cpp
+++ b/src/core/sessions/statement_results.cpp
@@ -206,8 +206,8 @@
                   log_level::info, out);
     work.tried.insert(result.backend);
     const auto members = state_.directory.members(routes_.at(session.id).group);
-    const bool all_tried = std::all_of(members.begin(), members.end(), [&](const auto& member) {
-        return work.tried.contains(member);
+    const bool all_tried = std::all_of(members.begin(), members.end(), [&](const auto& server) {
+        return work.tried.contains(server);
     });
     work.retry_at = now;
     if (work.needs_primary || all_tried) {
--- a/tests/core/backend_sessions_test.cpp
+++ b/tests/core/backend_sessions_test.cpp
@@ -67,16 +67,16 @@
 
     void apply_actions(std::int64_t now, const proxy_output& out) {
         for (const auto& each : out.sessions) {
-            if (const auto* opened = std::get_if<open_member>(&each)) {
+            if (const auto* opened = std::get_if<open_server_connection>(&each)) {
                 const bool room = connections_.size() < accepted;
                 refused += room ? 0 : 1;
                 if (room) {
                     connections_.insert(opened->connection);
                 }
                 events_.push_back({now + (room ? handshake_ms : 1), opened->connection, room});
-            } else if (const auto* closed = std::get_if<close_member>(&each)) {
+            } else if (const auto* closed = std::get_if<close_server_connection>(&each)) {
                 connections_.erase(closed->connection);
-            } else if (const auto* sent = std::get_if<send_to_member>(&each)) {
+            } else if (const auto* sent = std::get_if<send_to_server>(&each)) {
                 for (std::size_t i = 0; i < sent->commands.size(); ++i) {
                     statements_.push_back(sent->connection);
                 }
--- a/tests/core/group_observer_test.cpp
+++ b/tests/core/group_observer_test.cpp
@@ -48,8 +48,8 @@
 std::vector<backend_registration> registry() {
     std::vector<backend_registration> all;
     for (std::size_t i = 0; i < group_count; ++i) {
-        for (const char* member : {"a", "b", "c"}) {
-            auto entry = registration((group_at(i).str() + member).c_str());
+        for (const char* server : {"a", "b", "c"}) {
+            auto entry = registration((group_at(i).str() + server).c_str());
             entry.group = group_at(i);
             entry.domain = failure_domain_id{"d0"};
             all.push_back(entry);
@@ -94,7 +94,7 @@
     static std::size_t opened(const proxy_output& out) {
         return static_cast<std::size_t>(
             std::count_if(out.sessions.begin(), out.sessions.end(), [](const auto& each) {
-                return std::holds_alternative<open_member>(each);
+                return std::holds_alternative<open_server_connection>(each);
             }));
     }
 
@@ -161,8 +161,9 @@
     EXPECT_EQ(observing_vm::opened(vm.tick(at(10))), own == 0 ? 3U : 0U);
     const auto later = vm.tick(at(4'000));
     const auto closed =
-        std::count_if(later.sessions.begin(), later.sessions.end(),
-                      [](const auto& each) { return std::holds_alternative<close_member>(each); });
+        std::count_if(later.sessions.begin(), later.sessions.end(), [](const auto& each) {
+            return std::holds_alternative<close_server_connection>(each);
+        });
     EXPECT_GE(closed, own == 0 ? 3 : 0);
 }
 
--- a/tests/core/member_owner_test.cpp
+++ b/tests/core/member_owner_test.cpp
@@ -21,7 +21,7 @@
     statement.backend = backend_server_id{"p"};
     statement.continues = true;
     fixture.owner.submit(at(1), vm_id{"b"}, statement, fixture.out);
-    EXPECT_TRUE(fixture.take<open_member>().empty());
+    EXPECT_TRUE(fixture.take<open_server_connection>().empty());
     const auto results = fixture.owner.take_results();
     ASSERT_EQ(results.size(), 1U);
     EXPECT_FALSE(results.front().result.answered);
@@ -39,13 +39,13 @@
     statement.remaining = std::chrono::seconds{1};
     fixture.owner.paused(at(5000));
     fixture.owner.submit(at(5001), vm_id{"b"}, statement, fixture.out);
-    EXPECT_TRUE(fixture.take<open_member>().empty());
+    EXPECT_TRUE(fixture.take<open_server_connection>().empty());
     const auto results = fixture.owner.take_results();
     ASSERT_EQ(results.size(), 1U);
     EXPECT_EQ(results.front().result.reply.problem, statement_error::busy);
     EXPECT_FALSE(results.front().result.sent);
     fixture.owner.submit(at(5300), vm_id{"b"}, statement, fixture.out);
-    EXPECT_FALSE(fixture.take<open_member>().empty());
+    EXPECT_FALSE(fixture.take<open_server_connection>().empty());
 }
 
 // Guards against a statement that is delayed by a network partition and runs when the partition
@@ -61,18 +61,18 @@
     for (std::uint64_t number = 1; number <= 2; ++number) {
         statement.lease = connection_id{100 + number};
         fixture.owner.submit(at(1), vm_id{"b"}, statement, fixture.out);
-        connections.push_back(fixture.take<open_member>().front().connection);
+        connections.push_back(fixture.take<open_server_connection>().front().connection);
         fixture.backends.on_ready(at(5), {connections.back(), {}}, fixture.out);
     }
     EXPECT_EQ(fixture.commands().size(), 2U);
     fixture.backends.tick(at(990), fixture.out);
-    EXPECT_TRUE(fixture.take<close_member>().empty());
+    EXPECT_TRUE(fixture.take<close_server_connection>().empty());
     fixture.backends.on_reply(at(1001),
                               {connections[0], success(transaction_state::open, point(1, 10)), {}},
                               fixture.out);
     fixture.backends.tick(at(1200), fixture.out);
     EXPECT_TRUE(fixture.commands().empty()) << "the transaction's statement was sent";
-    EXPECT_EQ(fixture.take<close_member>().size(), 2U);
+    EXPECT_EQ(fixture.take<close_server_connection>().size(), 2U);
     fixture.owner.settle(at(1200), fixture.out);
     const auto results = fixture.owner.take_results();
     ASSERT_EQ(results.size(), 2U);
--- a/tests/core/promotion_duty_test.cpp
+++ b/tests/core/promotion_duty_test.cpp
@@ -65,21 +65,21 @@
     }
     void answer_all(time_point now) {
         for (const auto& action : std::exchange(out.sessions, {})) {
-            if (const auto* opened = std::get_if<open_member>(&action)) {
+            if (const auto* opened = std::get_if<open_server_connection>(&action)) {
                 names[opened->connection] = opened->expected.str();
                 if (down.contains(opened->expected.str())) {
                     observer.on_closed(now, {opened->connection, close_reason::refused, {}}, out);
                 } else {
                     observer.on_ready(now, {opened->connection, {}}, out);
                 }
-            } else if (const auto* sent = std::get_if<send_to_member>(&action)) {
+            } else if (const auto* sent = std::get_if<send_to_server>(&action)) {
                 answer(now, *sent);
-            } else if (const auto* promoted = std::get_if<promote_member>(&action)) {
+            } else if (const auto* promoted = std::get_if<promote_server>(&action)) {
                 promotions.push_back(*promoted);
             }
         }
     }
-    void answer(time_point now, const send_to_member& sent) {
+    void answer(time_point now, const send_to_server& sent) {
         const auto name = names[sent.connection];
         for (const auto& command : sent.commands) {
             if (silent.contains(name)) {
@@ -99,8 +99,8 @@
     }
     void crash(const char* name, time_point now) {
         down.insert(name);
-        for (const auto& [connection, member] : names) {
-            if (member == name) {
+        for (const auto& [connection, server] : names) {
+            if (server == name) {
                 observer.on_closed(now, {connection, close_reason::lost, {}}, out);
             }
         }
@@ -127,10 +127,10 @@
     proxy_output out;
     store_answer fence_answer;
     std::map<connection_id, std::string> names;
-    std::map<std::string, member_status> status;
+    std::map<std::string, server_status> status;
     std::set<std::string> down;
     std::set<std::string> silent;
-    std::vector<promote_member> promotions;
+    std::vector<promote_server> promotions;
     std::vector<std::pair<std::string, command_kind>> commands;
 };
 
--- a/tests/core/session_fixture.hpp
+++ b/tests/core/session_fixture.hpp
@@ -25,16 +25,16 @@
     return {term{in_term}, log_position{position}};
 }
 
-inline member_status replica_status(std::uint64_t in_term, log_point received,
+inline server_status replica_status(std::uint64_t in_term, log_point received,
                                     std::uint64_t held = 0) {
-    member_status status;
+    server_status status;
     status.term = term{in_term};
     status.received = received;
     status.held_term = term{held};
     return status;
 }
 
-inline member_status primary_status(std::uint64_t in_term, log_point received) {
+inline server_status primary_status(std::uint64_t in_term, log_point received) {
     auto status = replica_status(in_term, received);
     status.role = backend_role::primary;
     return status;
@@ -131,9 +131,9 @@
     }
     /// @brief Accepts all connections to servers that were requested since the last call.
     void accept(std::int64_t milliseconds) {
-        const auto opened = take<open_member>();
+        const auto opened = take<open_server_connection>();
         for (const auto& each : opened) {
-            members[each.connection] = each.expected;
+            connected_servers[each.connection] = each.expected;
         }
         run(milliseconds, [&](time_point now) {
             for (const auto& each : opened) {
@@ -178,7 +178,7 @@
     /// @brief Removes and returns the commands to servers since the last call.
     std::vector<std::pair<connection_id, backend_command>> commands() {
         std::vector<std::pair<connection_id, backend_command>> found;
-        for (auto& each : take<send_to_member>()) {
+        for (auto& each : take<send_to_server>()) {
             for (auto& command : each.commands) {
                 found.emplace_back(each.connection, std::move(command));
             }
@@ -195,7 +195,7 @@
     statement_executor executor;
     proxy_output out;
     session_id session{7};
-    std::map<connection_id, backend_server_id> members;
+    std::map<connection_id, backend_server_id> connected_servers;
     int statements{0};
 
   private:
--- a/tests/core/statement_executor_test.cpp
+++ b/tests/core/statement_executor_test.cpp
@@ -44,7 +44,7 @@
     fixture.accept(11);
     const auto sent = fixture.commands();
     ASSERT_EQ(sent.size(), 1U);
-    EXPECT_NE(fixture.members[sent.front().first], backend_server_id{"p"});
+    EXPECT_NE(fixture.connected_servers[sent.front().first], backend_server_id{"p"});
     EXPECT_EQ(sent.front().second.after, point(1, 10));
     fixture.reply(20, sent.front().first, success(transaction_state::idle, point(1, 10)));
     const auto answers = fixture.answers();
@@ -61,7 +61,8 @@
     fixture.accept(13);
     const auto second = fixture.commands();
     ASSERT_EQ(second.size(), 1U);
-    EXPECT_NE(fixture.members[second.front().first], fixture.members[first.front().first]);
+    EXPECT_NE(fixture.connected_servers[second.front().first],
+              fixture.connected_servers[first.front().first]);
     EXPECT_TRUE(fixture.answers().empty());
 }
 
@@ -144,7 +145,7 @@
 // Without evidence of the leadership, a write could be acknowledged by a replaced primary.
 TEST_F(StatementExecutor, WriteWaitsForProofAndIsRefusedAsNotRun) {
     fixture.say(900, write_one());
-    EXPECT_TRUE(fixture.take<open_member>().empty());
+    EXPECT_TRUE(fixture.take<open_server_connection>().empty());
     fixture.tick(1850);
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 1U);
@@ -157,10 +158,10 @@
     fixture.state.leadership(group_id{"g"})
         .on_status(at(790), at(790), backend_server_id{"r1"}, replica_status(1, point(1, 10)));
     fixture.say(800, write_one());
-    EXPECT_TRUE(fixture.take<open_member>().empty());
+    EXPECT_TRUE(fixture.take<open_server_connection>().empty());
     fixture.prove(810);
     fixture.tick(820);
-    EXPECT_EQ(fixture.take<open_member>().size(), 1U);
+    EXPECT_EQ(fixture.take<open_server_connection>().size(), 1U);
 }
 
 // Without these ages, the logs do not show the cause of a refusal.
@@ -186,7 +187,7 @@
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers.front().problem, statement_error::unknown_outcome);
     fixture.tick(50);
-    EXPECT_TRUE(fixture.take<open_member>().empty());
+    EXPECT_TRUE(fixture.take<open_server_connection>().empty());
 }
 
 // If a connection is lost while it opens, it is not known whether a write sent on it has run.
@@ -317,7 +318,7 @@
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers.front().problem, statement_error::busy);
-    EXPECT_TRUE(fixture.take<open_member>().empty());
+    EXPECT_TRUE(fixture.take<open_server_connection>().empty());
 }
 
 struct rejection_case {
--- a/tests/platform/session_ports_test.cpp
+++ b/tests/platform/session_ports_test.cpp
@@ -38,7 +38,7 @@
 
 TEST_F(SessionPorts, ServerAnswersAreCollectedUntilReady) {
     member_port server_connections{context, {}, codec, sink()};
-    open_member start;
+    open_server_connection start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", acceptor.local_endpoint().port()};
     start.group = group_id{"g"};
@@ -53,23 +53,23 @@
     asio::write(server, asio::buffer(std::string{"READY I 1.2\r\n"}));
     context.restart();
     context.run_for(milliseconds{50});
-    ASSERT_NE(last<member_ready>(), nullptr);
+    ASSERT_NE(last<server_connected>(), nullptr);
     asio::write(server, asio::buffer(std::string{"ROW a\r\nROW b\r\nCOMPLETE s\r\nREA"}));
     context.restart();
     context.run_for(milliseconds{50});
-    EXPECT_EQ(last<member_replied>(), nullptr);
+    EXPECT_EQ(last<server_replied>(), nullptr);
     asio::write(server, asio::buffer(std::string{"DY I 1.3\r\n"}));
     context.restart();
     context.run_for(milliseconds{50});
-    ASSERT_NE(last<member_replied>(), nullptr);
-    EXPECT_EQ(last<member_replied>()->reply.rows, (std::vector<std::string>{"a", "b"}));
+    ASSERT_NE(last<server_replied>(), nullptr);
+    EXPECT_EQ(last<server_replied>()->reply.rows, (std::vector<std::string>{"a", "b"}));
 }
 
 // A write whose connection the proxy has closed must not be executed when a network partition heals
 // later.
 TEST_F(SessionPorts, ClosedServerConnectionIsReset) {
     member_port server_connections{context, {}, codec, sink()};
-    open_member start;
+    open_server_connection start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", acceptor.local_endpoint().port()};
     server_connections.open(start);
@@ -88,13 +88,13 @@
     const auto port = acceptor.local_endpoint().port();
     acceptor.close();
     member_port server_connections{context, {}, codec, sink()};
-    open_member start;
+    open_server_connection start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", port};
     server_connections.open(start);
     context.run_for(milliseconds{50});
-    ASSERT_NE(last<member_closed>(), nullptr);
-    EXPECT_EQ(last<member_closed>()->reason, close_reason::refused);
+    ASSERT_NE(last<server_disconnected>(), nullptr);
+    EXPECT_EQ(last<server_disconnected>()->reason, close_reason::refused);
 }
 
 TEST_F(SessionPorts, CallersLinesBecomeEvents) {
