--- a/include/jackdawvane/node/peer.hpp
+++ b/include/jackdawvane/node/peer.hpp
@@ -394,8 +394,8 @@
     std::variant<group_report, group_summary, forward_request, forward_reply, membership_probe,
                  configuration_announce, configuration_pull, configuration_difference,
                  token_request, token_grant, token_acknowledgement, share_request, share_notice,
-                 observation_query, observation_reply, group_hold, member_statement, attempt_result,
-                 lease_release>;
+                 observation_query, observation_reply, group_hold, forwarded_statement,
+                 attempt_result, lease_release>;
 
 /// @brief JSON-RPC method name of @a message.
 [[nodiscard]] const char* method_of(const peer_message& message) noexcept;
--- a/include/jackdawvane/sessions/member_owner.hpp
+++ b/include/jackdawvane/sessions/connection_owner.hpp
@@ -31,11 +31,12 @@
 /// its usual rate. Organisations are served in turn, by their weights. A full queue refuses
 /// statements at once, and a statement that has not started within the queue timeout is returned
 /// as not run.
-class member_owner {
+class connection_owner {
   public:
-    member_owner(fleet_state& state, backend_sessions& backends, owner_settings settings);
+    connection_owner(fleet_state& state, backend_sessions& backends, owner_settings settings);
 
-    void submit(time_point now, const vm_id& entry, member_statement statement, proxy_output& out);
+    void submit(time_point now, const vm_id& entry, forwarded_statement statement,
+                proxy_output& out);
     void release(time_point now, const vm_id& entry, const lease_release& release,
                  proxy_output& out);
     /// @brief Refuses statements for a short time after a pause of this VM. Those that arrive now
@@ -63,7 +64,7 @@
     };
     struct queued {
         vm_id entry;
-        member_statement statement;
+        forwarded_statement statement;
         time_point deadline{no_deadline}; ///< The entry VM gives up the statement at this time.
     };
     struct running {
--- a/include/jackdawvane/sessions/messages.hpp
+++ b/include/jackdawvane/sessions/messages.hpp
@@ -237,7 +237,7 @@
 ///
 /// The lease is the entry VM's identifier for one connection. The first statement binds it to a
 /// connection, which it keeps until the entry VM releases it.
-struct member_statement {
+struct forwarded_statement {
     static constexpr const char* method = "statement.forward";
     connection_id lease;
     attempt_id attempt;
@@ -246,20 +246,24 @@
     std::map<std::string, std::string> values;
     std::optional<prepared_statement> prepared; ///< Set if the statement is prepared.
     bool writes{false};
-    bool continues{false};                ///< Belongs to an open transaction of the lease.
+    bool continues_transaction{false};    ///< Belongs to an open transaction of the lease.
     std::optional<backend_command> begin; ///< Opens a transaction before the statement.
     backend_command main;
     duration remaining{0}; ///< Time after arrival within which the statement may start.
 
     static constexpr auto fields() {
-        using self = member_statement;
-        return std::tuple{
-            field("lease", &self::lease),           field("attempt", &self::attempt),
-            field("backend", &self::backend),       field("organisation", &self::organisation),
-            field("values", &self::values),         field("prepared", &self::prepared),
-            field("writes", &self::writes),         field("continues", &self::continues),
-            field("begin", &self::begin),           field("main", &self::main),
-            field("remaining_us", &self::remaining)};
+        using self = forwarded_statement;
+        return std::tuple{field("lease", &self::lease),
+                          field("attempt", &self::attempt),
+                          field("backend", &self::backend),
+                          field("organisation", &self::organisation),
+                          field("values", &self::values),
+                          field("prepared", &self::prepared),
+                          field("writes", &self::writes),
+                          field("continues", &self::continues_transaction),
+                          field("begin", &self::begin),
+                          field("main", &self::main),
+                          field("remaining_us", &self::remaining)};
     }
 };
 
--- a/include/jackdawvane/sessions/session_proxy.hpp
+++ b/include/jackdawvane/sessions/session_proxy.hpp
@@ -49,7 +49,7 @@
     executor_settings executor;
     backend_session_settings backends;
     owner_settings owner;
-    gateway_settings gateway;
+    forwarder_settings forwarder;
     observer_settings observer;
     promotion_duty_settings failover;
     duty_lease_settings coordinator_lease;
@@ -100,7 +100,7 @@
                  proxy_output& out);
     void receive(time_point now, const peer_received& from, const group_hold& message,
                  proxy_output& out);
-    void receive(time_point now, const peer_received& from, const member_statement& message,
+    void receive(time_point now, const peer_received& from, const forwarded_statement& message,
                  proxy_output& out);
     void receive(time_point now, const peer_received& from, const attempt_result& message,
                  proxy_output& out);
@@ -138,8 +138,8 @@
     group_observer observer_;
     promotion_duty coordinator_;
     backend_sessions backends_;
-    member_owner owner_;
-    member_gateway gateway_;
+    connection_owner owner_;
+    statement_forwarder forwarder_;
     statement_executor executor_;
     revision applied_revision_;
     std::uint64_t fleet_version_{0};
--- a/include/jackdawvane/sessions/statement_executor.hpp
+++ b/include/jackdawvane/sessions/statement_executor.hpp
@@ -5,8 +5,8 @@
 #include "jackdawvane/sessions/backend_chooser.hpp"
 #include "jackdawvane/sessions/caller_session.hpp"
 #include "jackdawvane/sessions/fleet_state.hpp"
-#include "jackdawvane/sessions/member_gateway.hpp"
 #include "jackdawvane/sessions/ports.hpp"
+#include "jackdawvane/sessions/statement_forwarder.hpp"
 
 #include <map>
 #include <optional>
@@ -85,8 +85,9 @@
 class statement_executor {
   public:
     /// @param last_attempt the first attempt gets the id after this one
-    statement_executor(fleet_state& state, member_gateway& gateway, admission_service& limits,
-                       executor_settings settings, attempt_id last_attempt = {});
+    statement_executor(fleet_state& state, statement_forwarder& forwarder,
+                       admission_service& limits, executor_settings settings,
+                       attempt_id last_attempt = {});
 
     void on(time_point now, const session_started& what, proxy_output& out);
     void on(time_point now, const statement_received& what, proxy_output& out);
@@ -204,7 +205,7 @@
                        const std::string& details, log_level level, proxy_output& out) const;
 
     fleet_state& state_;
-    member_gateway& gateway_;
+    statement_forwarder& forwarder_;
     admission_service& limits_;
     executor_settings settings_;
     id_sequence<attempt_id> attempt_ids_;
--- a/include/jackdawvane/sessions/member_gateway.hpp
+++ b/include/jackdawvane/sessions/statement_forwarder.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "jackdawvane/sessions/member_owner.hpp"
+#include "jackdawvane/sessions/connection_owner.hpp"
 
 #include <map>
 #include <optional>
@@ -9,8 +9,8 @@
 
 namespace jackdawvane {
 
-/// @brief Timeouts and averaging of the `member_gateway`.
-struct gateway_settings {
+/// @brief Timeouts and averaging of the `statement_forwarder`.
+struct forwarder_settings {
     /// Time for which an owner that cannot reach a backend server is not chosen for it.
     duration unreachable_ttl{std::chrono::milliseconds{1000}};
     /// Time for which no new statement is sent after a refusal for lack of capacity.
@@ -26,17 +26,17 @@
 /// The owner of a backend server follows from rendezvous hashing over the live VMs of its failure
 /// domain. An owner that cannot reach the server is skipped, so a server that is unreachable from
 /// some VMs is used through the others.
-class member_gateway {
+class statement_forwarder {
   public:
-    member_gateway(fleet_state& state, member_owner& owner, gateway_settings settings,
-                   id_sequence<connection_id>& ids);
+    statement_forwarder(fleet_state& state, connection_owner& owner, forwarder_settings settings,
+                        id_sequence<connection_id>& ids);
 
     /// @brief Whether statements may be sent to @a backend now, that is, it is not in backoff.
     [[nodiscard]] bool open(time_point now, const backend_server_id& backend) const;
     /// @brief Creates a lease of a connection to @a backend; nothing when no VM can reach it.
     [[nodiscard]] std::optional<connection_id> acquire(time_point now,
                                                        const backend_server_id& backend);
-    void send(time_point now, member_statement statement, proxy_output& out);
+    void send(time_point now, forwarded_statement statement, proxy_output& out);
     /// @brief Releases a lease; rolls back an open transaction first.
     void release(time_point now, connection_id lease, bool in_transaction, proxy_output& out);
     /// @brief Releases a lease and closes its connection, as its session state is unknown.
@@ -84,8 +84,8 @@
     void end_attempt(time_point now, const attempt_result& result, bool measure);
 
     fleet_state& state_;
-    member_owner& owner_;
-    gateway_settings settings_;
+    connection_owner& owner_;
+    forwarder_settings settings_;
     id_sequence<connection_id>& ids_;
     std::map<connection_id, held_lease> leases_;
     std::map<attempt_id, sent_attempt> attempts_;
--- a/src/core/sessions/member_owner.cpp
+++ b/src/core/sessions/connection_owner.cpp
@@ -1,4 +1,4 @@
-#include "jackdawvane/sessions/member_owner.hpp"
+#include "jackdawvane/sessions/connection_owner.hpp"
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-session_needs needs_of(const member_statement& statement) {
+session_needs needs_of(const forwarded_statement& statement) {
     session_needs needs;
     needs.organisation = statement.organisation;
     needs.values = &statement.values;
@@ -22,11 +22,12 @@
 
 } // namespace
 
-member_owner::member_owner(fleet_state& state, backend_sessions& backends, owner_settings settings)
+connection_owner::connection_owner(fleet_state& state, backend_sessions& backends,
+                                   owner_settings settings)
     : state_{state}, backends_{backends}, settings_{settings} {}
 
-void member_owner::submit(time_point now, const vm_id& entry, member_statement statement,
-                          proxy_output& out) {
+void connection_owner::submit(time_point now, const vm_id& entry, forwarded_statement statement,
+                              proxy_output& out) {
     const auto entry_deadline = now + statement.remaining;
     auto bound = leases_.find({entry, statement.lease});
     if (bound != leases_.end() && !backends_.holds(bound->second.connection)) {
@@ -38,7 +39,7 @@
         start(now, {entry, std::move(statement), entry_deadline}, bound->second.connection, out);
         return;
     }
-    if (statement.continues) {
+    if (statement.continues_transaction) {
         // The connection was lost; on another one the statement would run outside its transaction.
         attempt_result lost;
         lost.attempt = statement.attempt;
@@ -71,8 +72,8 @@
     drain(now, waiting.statement.backend, queue, out);
 }
 
-void member_owner::drain(time_point now, const backend_server_id& backend,
-                         fair_queue<queued>& queue, proxy_output& out) {
+void connection_owner::drain(time_point now, const backend_server_id& backend,
+                             fair_queue<queued>& queue, proxy_output& out) {
     expire(now, queue);
     if (backends_.recently_failed(now, backend)) {
         while (auto next = queue.pop(now)) {
@@ -96,7 +97,8 @@
     }
 }
 
-void member_owner::start(time_point now, queued next, connection_id connection, proxy_output& out) {
+void connection_owner::start(time_point now, queued next, connection_id connection,
+                             proxy_output& out) {
     const auto attempt = attempt_ids_.next();
     auto& statement = next.statement;
     running_[attempt] = {{next.entry, statement.lease}, statement.attempt};
@@ -106,13 +108,13 @@
                    std::move(statement.main), out);
 }
 
-void member_owner::expire(time_point now, fair_queue<queued>& queue) {
+void connection_owner::expire(time_point now, fair_queue<queued>& queue) {
     for (const auto& each : queue.expire(now)) {
         report_not_run(each.item, statement_error::busy);
     }
 }
 
-void member_owner::report_not_run(const queued& entry, statement_error problem) {
+void connection_owner::report_not_run(const queued& entry, statement_error problem) {
     attempt_result result;
     result.attempt = entry.statement.attempt;
     result.lease = entry.statement.lease;
@@ -123,8 +125,8 @@
     results_.push_back({entry.entry, std::move(result)});
 }
 
-void member_owner::release(time_point now, const vm_id& entry, const lease_release& release,
-                           proxy_output& out) {
+void connection_owner::release(time_point now, const vm_id& entry, const lease_release& release,
+                               proxy_output& out) {
     const auto bound = leases_.find({entry, release.lease});
     if (bound == leases_.end()) {
         return;
@@ -138,11 +140,11 @@
     }
 }
 
-void member_owner::paused(time_point now) {
+void connection_owner::paused(time_point now) {
     backlog_until_ = now + backlog_time;
 }
 
-void member_owner::forget(const vm_id& entry, proxy_output& out) {
+void connection_owner::forget(const vm_id& entry, proxy_output& out) {
     for (auto it = leases_.begin(); it != leases_.end();) {
         if (it->first.entry == entry) {
             backends_.discard(it->second.connection, out);
@@ -153,7 +155,7 @@
     }
 }
 
-void member_owner::settle(time_point now, proxy_output& out) {
+void connection_owner::settle(time_point now, proxy_output& out) {
     for (auto& result : backends_.take_results()) {
         const auto found = running_.find(result.attempt);
         if (found == running_.end()) {
@@ -175,7 +177,7 @@
     }
 }
 
-void member_owner::tick(time_point now, proxy_output& out) {
+void connection_owner::tick(time_point now, proxy_output& out) {
     for (auto it = leases_.begin(); it != leases_.end();) {
         if (now - it->second.used > settings_.lease_timeout) {
             log(out.common, "owner", log_level::warning,
@@ -193,7 +195,7 @@
     }
 }
 
-std::vector<owner_result> member_owner::take_results() {
+std::vector<owner_result> connection_owner::take_results() {
     return std::exchange(results_, {});
 }
 
--- a/src/core/sessions/session_proxy.cpp
+++ b/src/core/sessions/session_proxy.cpp
@@ -77,10 +77,10 @@
       coordinator_lease_{settings.self.vm, settings.coordinator_lease, request_ids_},
       observer_{state_, settings.observer, connection_ids_, request_ids_},
       coordinator_{state_, observer_, coordinator_lease_, settings.failover},
-      backends_{state_, settings.backends, connection_ids_},
-      owner_{state_, backends_, settings.owner}, gateway_{state_, owner_, settings.gateway,
-                                                          connection_ids_},
-      executor_{state_, gateway_, *this, settings.executor,
+      backends_{state_, settings.backends, connection_ids_}, owner_{state_, backends_,
+                                                                    settings.owner},
+      forwarder_{state_, owner_, settings.forwarder, connection_ids_},
+      executor_{state_, forwarder_, *this, settings.executor,
                 attempt_id{first_id(settings.incarnation)}} {}
 
 void session_proxy::handle(time_point now, const proxy_event& input, proxy_output& out) {
@@ -150,8 +150,8 @@
     }
 }
 
-/// Passes results from the connections through the owner and the gateway to the sessions, and the
-/// sessions' next statements back, until no result is left.
+/// Passes results from the connections through the connection owner and the forwarder to the
+/// sessions, and the sessions' next statements back, until no result is left.
 void session_proxy::settle_statements(time_point now, proxy_output& out) {
     bool progress = true;
     while (progress) {
@@ -159,7 +159,7 @@
         const auto results = owner_.take_results();
         for (const auto& [entry, result] : results) {
             if (entry == settings_.self.vm) {
-                gateway_.on_result(now, result);
+                forwarder_.on_result(now, result);
             } else if (const auto* vm = members_.entry_of(entry)) {
                 out.common.emplace_back(
                     send_to_peer{entry, vm->peer, peer_channel::stream, result});
@@ -171,7 +171,7 @@
 }
 
 void session_proxy::handle_vm_loss(const vm_id& vm, proxy_output& out) {
-    gateway_.on_vm_lost(vm);
+    forwarder_.on_vm_lost(vm);
     owner_.forget(vm, out);
 }
 
@@ -198,7 +198,7 @@
         }
     }
     for (const auto& [backend, entry] : state_.directory.entries()) {
-        if (!gateway_.owns(backend)) {
+        if (!forwarder_.owns(backend)) {
             backends_.close_idle(backend, out);
         }
     }
@@ -397,13 +397,13 @@
 }
 
 void session_proxy::receive(time_point now, const peer_received& from,
-                            const member_statement& message, proxy_output& out) {
+                            const forwarded_statement& message, proxy_output& out) {
     owner_.submit(now, from.from, message, out);
 }
 
 void session_proxy::receive(time_point now, const peer_received& /*from*/,
                             const attempt_result& message, proxy_output& /*out*/) {
-    gateway_.on_result(now, message);
+    forwarder_.on_result(now, message);
 }
 
 void session_proxy::receive(time_point now, const peer_received& from, const lease_release& message,
--- a/src/core/sessions/statement_executor.cpp
+++ b/src/core/sessions/statement_executor.cpp
@@ -22,11 +22,11 @@
 
 } // namespace
 
-statement_executor::statement_executor(fleet_state& state, member_gateway& gateway,
+statement_executor::statement_executor(fleet_state& state, statement_forwarder& forwarder,
                                        admission_service& limits, executor_settings settings,
                                        attempt_id last_attempt)
-    : state_{state}, gateway_{gateway}, limits_{limits}, settings_{settings}, attempt_ids_{
-                                                                                  last_attempt} {}
+    : state_{state}, forwarder_{forwarder}, limits_{limits}, settings_{settings},
+      attempt_ids_{last_attempt} {}
 
 void statement_executor::on(time_point now, const session_started& what, proxy_output& out) {
     const auto key = digest_of(what.key);
@@ -243,7 +243,7 @@
                                          proxy_output& out) {
     auto ended = std::exchange(session.transaction, {});
     if (ended.lease != connection_id{}) {
-        gateway_.release(now, ended.lease, true, out);
+        forwarder_.release(now, ended.lease, true, out);
     }
 }
 
@@ -350,7 +350,7 @@
     open_pending_sessions(now, out);
     bool progress = true;
     while (progress) {
-        const auto results = gateway_.take_results();
+        const auto results = forwarder_.take_results();
         for (const auto& result : results) {
             handle_result(now, result, out);
         }
--- a/src/core/sessions/member_gateway.cpp
+++ b/src/core/sessions/statement_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "jackdawvane/sessions/member_gateway.hpp"
+#include "jackdawvane/sessions/statement_forwarder.hpp"
 
 #include "jackdawvane/membership/placement.hpp"
 
@@ -8,11 +8,13 @@
 
 namespace jackdawvane {
 
-member_gateway::member_gateway(fleet_state& state, member_owner& owner, gateway_settings settings,
-                               id_sequence<connection_id>& ids)
+statement_forwarder::statement_forwarder(fleet_state& state, connection_owner& owner,
+                                         forwarder_settings settings,
+                                         id_sequence<connection_id>& ids)
     : state_{state}, owner_{owner}, settings_{settings}, ids_{ids} {}
 
-std::optional<vm_id> member_gateway::owner_for(time_point now, const backend_server_id& backend) {
+std::optional<vm_id> statement_forwarder::owner_for(time_point now,
+                                                    const backend_server_id& backend) {
     const auto* entry = state_.directory.find(backend);
     if (entry == nullptr) {
         return {};
@@ -33,13 +35,14 @@
     return owner_of(backend, location_of(*entry), candidates);
 }
 
-location member_gateway::location_of(const backend_directory::entry& backend) const {
+location statement_forwarder::location_of(const backend_directory::entry& backend) const {
     return {state_.region_of(backend.registration.domain), backend.registration.domain};
 }
 
 /// Owner by rendezvous hashing over all live VMs, cached for each version of the fleet.
-std::optional<vm_id> member_gateway::default_owner(const backend_server_id& backend,
-                                                   const backend_directory::entry& entry) const {
+std::optional<vm_id>
+statement_forwarder::default_owner(const backend_server_id& backend,
+                                   const backend_directory::entry& entry) const {
     if (owners_version_ != state_.fleet_version) {
         owners_version_ = state_.fleet_version;
         owners_.clear();
@@ -52,7 +55,7 @@
     return cached.owner;
 }
 
-bool member_gateway::owns(const backend_server_id& backend) const {
+bool statement_forwarder::owns(const backend_server_id& backend) const {
     const auto* entry = state_.directory.find(backend);
     if (entry == nullptr) {
         return false;
@@ -60,13 +63,13 @@
     return default_owner(backend, *entry) == state_.self.vm;
 }
 
-bool member_gateway::open(time_point now, const backend_server_id& backend) const {
+bool statement_forwarder::open(time_point now, const backend_server_id& backend) const {
     const auto found = loads_.find(backend);
     return found == loads_.end() || now >= found->second.busy_until;
 }
 
-std::optional<connection_id> member_gateway::acquire(time_point now,
-                                                     const backend_server_id& backend) {
+std::optional<connection_id> statement_forwarder::acquire(time_point now,
+                                                          const backend_server_id& backend) {
     const auto owner = owner_for(now, backend);
     if (!owner) {
         return {};
@@ -76,7 +79,7 @@
     return id;
 }
 
-void member_gateway::send(time_point now, member_statement statement, proxy_output& out) {
+void statement_forwarder::send(time_point now, forwarded_statement statement, proxy_output& out) {
     attempts_[statement.attempt] = {statement.lease, now};
     ++loads_[statement.backend].running;
     const auto found = leases_.find(statement.lease);
@@ -108,8 +111,8 @@
         send_to_peer{vm->vm, vm->peer, peer_channel::stream, std::move(statement)});
 }
 
-void member_gateway::send_release(time_point now, const lease_release& release, const vm_id& owner,
-                                  proxy_output& out) {
+void statement_forwarder::send_release(time_point now, const lease_release& release,
+                                       const vm_id& owner, proxy_output& out) {
     if (owner == state_.self.vm) {
         owner_.release(now, owner, release, out);
     } else if (const auto* vm = state_.find_vm(owner)) {
@@ -117,8 +120,8 @@
     }
 }
 
-void member_gateway::release(time_point now, connection_id lease, bool in_transaction,
-                             proxy_output& out) {
+void statement_forwarder::release(time_point now, connection_id lease, bool in_transaction,
+                                  proxy_output& out) {
     const auto found = leases_.find(lease);
     if (found != leases_.end()) {
         const auto held = found->second;
@@ -127,7 +130,7 @@
     }
 }
 
-void member_gateway::discard(time_point now, connection_id lease, proxy_output& out) {
+void statement_forwarder::discard(time_point now, connection_id lease, proxy_output& out) {
     const auto found = leases_.find(lease);
     if (found != leases_.end()) {
         const auto held = found->second;
@@ -136,7 +139,7 @@
     }
 }
 
-void member_gateway::end_attempt(time_point now, const attempt_result& result, bool measure) {
+void statement_forwarder::end_attempt(time_point now, const attempt_result& result, bool measure) {
     const auto found = attempts_.find(result.attempt);
     if (found == attempts_.end()) {
         return;
@@ -153,7 +156,7 @@
     attempts_.erase(found);
 }
 
-void member_gateway::on_result(time_point now, const attempt_result& result) {
+void statement_forwarder::on_result(time_point now, const attempt_result& result) {
     const auto sent = attempts_.find(result.attempt);
     if (sent == attempts_.end()) {
         return;
@@ -183,7 +186,7 @@
     results_.push_back(result);
 }
 
-void member_gateway::on_vm_lost(const vm_id& vm) {
+void statement_forwarder::on_vm_lost(const vm_id& vm) {
     std::vector<attempt_result> lost;
     for (const auto& [attempt, sent] : attempts_) {
         const auto found = leases_.find(sent.lease);
@@ -204,17 +207,17 @@
     std::erase_if(leases_, [&](const auto& each) { return each.second.owner == vm; });
 }
 
-std::vector<attempt_result> member_gateway::take_results() {
+std::vector<attempt_result> statement_forwarder::take_results() {
     return std::exchange(results_, {});
 }
 
-std::uint32_t member_gateway::running(const backend_server_id& backend) const {
+std::uint32_t statement_forwarder::running(const backend_server_id& backend) const {
     const auto found = loads_.find(backend);
     return found == loads_.end() ? 0 : found->second.running;
 }
 
-std::optional<duration> member_gateway::latency(time_point now,
-                                                const backend_server_id& backend) const {
+std::optional<duration> statement_forwarder::latency(time_point now,
+                                                     const backend_server_id& backend) const {
     const auto found = loads_.find(backend);
     if (found == loads_.end() || found->second.measured == time_point::min() ||
         now - found->second.measured > settings_.latency_ttl) {
--- a/src/core/sessions/statement_placement.cpp
+++ b/src/core/sessions/statement_placement.cpp
@@ -93,7 +93,7 @@
         return false;
     }
     if (!leadership.confirmed(now) || now - leadership.primary_seen() > settings_.primary_silence ||
-        !gateway_.open(now, *leadership.primary())) {
+        !forwarder_.open(now, *leadership.primary())) {
         return false;
     }
     session.work->primary_term = leadership.term();
@@ -154,15 +154,15 @@
         const bool primary = leadership.primary() == backend;
         const bool confirmed_primary = primary && leadership.confirmed(now);
         if (registration.group != group || session.work->tried.contains(backend) ||
-            may_stop_soon(now, entry) || !gateway_.open(now, backend) ||
+            may_stop_soon(now, entry) || !forwarder_.open(now, backend) ||
             (!required && !confirmed_primary)) {
             continue;
         }
         read_candidate candidate;
         candidate.backend = backend;
         candidate.distance = distance_to(registration);
-        candidate.mean_answer_time = gateway_.latency(now, backend).value_or(duration{0});
-        candidate.running = gateway_.running(backend);
+        candidate.mean_answer_time = forwarder_.latency(now, backend).value_or(duration{0});
+        candidate.running = forwarder_.running(backend);
         candidate.slots = registration.slots;
         candidate.primary = primary;
         candidate.last_used = session.last_backend == backend;
@@ -193,7 +193,7 @@
 bool statement_executor::send(time_point now, caller_session& session,
                               const backend_server_id& backend, std::optional<log_point> after,
                               proxy_output& out) {
-    const auto lease = gateway_.acquire(now, backend);
+    const auto lease = forwarder_.acquire(now, backend);
     if (!lease) {
         return false;
     }
@@ -243,14 +243,14 @@
     work.hedge_at = single_read && work.tries == 1
                         ? now + (work.deadline - work.received) / settings_.hedge_divisor
                         : no_deadline;
-    member_statement forward;
+    forwarded_statement forward;
     forward.lease = lease;
     forward.attempt = attempt;
     forward.backend = backend;
     forward.organisation = session.organisation;
     forward.values = session.values;
     forward.writes = work.writes;
-    forward.continues = session.transaction.opened;
+    forward.continues_transaction = session.transaction.opened;
     forward.remaining = work.deadline - now;
     forward.main.id = work.statement.id;
     if (work.statement.kind == statement_kind::execute) {
@@ -269,7 +269,7 @@
     } else {
         forward.main.after = after;
     }
-    gateway_.send(now, std::move(forward), out);
+    forwarder_.send(now, std::move(forward), out);
 }
 
 } // namespace jackdawvane
--- a/src/core/sessions/statement_results.cpp
+++ b/src/core/sessions/statement_results.cpp
@@ -90,7 +90,7 @@
     const auto connection = work.unconfirmed_result->lease;
     work.unconfirmed_result.reset();
     session.transaction = {};
-    gateway_.discard(now, connection, out);
+    forwarder_.discard(now, connection, out);
     statement_reply reply;
     reply.problem = statement_error::unknown_outcome;
     reply.detail = "the primary may have been replaced before the commit";
@@ -115,14 +115,14 @@
     if (work.statement.kind == statement_kind::commit) {
         transaction = {};
         reply.state = transaction_state::idle;
-        gateway_.release(now, result.lease, false, out);
+        forwarder_.release(now, result.lease, false, out);
     } else if (transaction.state == transaction_state::open) {
         transaction.opened = true;
         transaction.wrote = transaction.wrote || work.writes;
         transaction.state = reply.state;
     } else {
         reply.state = transaction_state::idle;
-        gateway_.release(now, result.lease, false, out);
+        forwarder_.release(now, result.lease, false, out);
     }
     finish(now, session, std::move(reply), out);
 }
@@ -137,9 +137,9 @@
         if (own_transaction) {
             // The transaction on the server has failed or was never begun.
             transaction.lease = {};
-            gateway_.release(now, result.lease, result.sent, out);
+            forwarder_.release(now, result.lease, result.sent, out);
         } else {
-            gateway_.release(now, result.lease, false, out);
+            forwarder_.release(now, result.lease, false, out);
         }
         retry(now, session, result, out);
         return;
@@ -153,14 +153,14 @@
     const bool single_read = !own_transaction && !work.writes;
     if (single_read && result.reply.problem == statement_error::failed &&
         work.tries < failed_read_tries) {
-        gateway_.release(now, result.lease, false, out);
+        forwarder_.release(now, result.lease, false, out);
         retry(now, session, result, out);
         return;
     }
     auto reply = result.reply;
     if (work.statement.kind == statement_kind::commit) {
         transaction = {};
-        gateway_.discard(now, result.lease, out);
+        forwarder_.discard(now, result.lease, out);
         reply.state = transaction_state::idle;
         if (not_run) {
             reply.problem = statement_error::aborted;
@@ -170,7 +170,7 @@
         transaction.state = transaction_state::failed;
         reply.state = transaction_state::failed;
     } else {
-        gateway_.release(now, result.lease, false, out);
+        forwarder_.release(now, result.lease, false, out);
         reply.state = transaction_state::idle;
     }
     finish(now, session, std::move(reply), out);
@@ -223,12 +223,12 @@
     for (const auto& [attempt, connection] : std::exchange(session.work->attempts, {})) {
         attempts_.erase(attempt);
         if (discard) {
-            gateway_.discard(now, connection, out);
+            forwarder_.discard(now, connection, out);
             if (session.transaction.lease == connection) {
                 session.transaction.lease = {};
             }
         } else {
-            gateway_.release(now, connection, false, out);
+            forwarder_.release(now, connection, false, out);
         }
     }
 }
--- a/tests/core/member_owner_test.cpp
+++ b/tests/core/connection_owner_test.cpp
@@ -1,4 +1,4 @@
-#include "jackdawvane/sessions/member_owner.hpp"
+#include "jackdawvane/sessions/connection_owner.hpp"
 
 #include <algorithm>
 #include <map>
@@ -13,13 +13,13 @@
 
 using namespace testing; // NOLINT(google-build-using-namespace)
 
-TEST(MemberOwner, DoesNotRunTheRestOfALostTransaction) {
+TEST(ConnectionOwner, DoesNotRunTheRestOfALostTransaction) {
     session_fixture fixture;
-    member_statement statement;
+    forwarded_statement statement;
     statement.lease = connection_id{1000};
     statement.attempt = attempt_id{1000};
     statement.backend = backend_server_id{"p"};
-    statement.continues = true;
+    statement.continues_transaction = true;
     fixture.owner.submit(at(1), vm_id{"b"}, statement, fixture.out);
     EXPECT_TRUE(fixture.take<open_server_connection>().empty());
     const auto results = fixture.owner.take_results();
@@ -31,9 +31,9 @@
 // Guards against a statement that runs when its owner VM resumes after a pause, seconds after its
 // entry VM has retried it elsewhere: the first statement of a transaction then ran on two
 // connections (soak seed 1).
-TEST(MemberOwner, GivesBackAsNotRunWhatArrivedDuringAPause) {
+TEST(ConnectionOwner, GivesBackAsNotRunWhatArrivedDuringAPause) {
     session_fixture fixture;
-    member_statement statement;
+    forwarded_statement statement;
     statement.backend = backend_server_id{"r1"};
     statement.organisation = organisation_id{"o"};
     statement.remaining = std::chrono::seconds{1};
@@ -50,9 +50,9 @@
 
 // Guards against a statement that is delayed by a network partition and runs when the partition
 // ends, seconds after its entry VM has retried it elsewhere.
-TEST(MemberOwner, EndsConnectionsWhoseStatementIsGivenUp) {
+TEST(ConnectionOwner, EndsConnectionsWhoseStatementIsGivenUp) {
     session_fixture fixture;
-    member_statement statement;
+    forwarded_statement statement;
     statement.backend = backend_server_id{"r1"};
     statement.organisation = organisation_id{"o"};
     statement.remaining = std::chrono::seconds{1};
@@ -82,11 +82,11 @@
 
 // Guards against a lost transaction whose next statement is reported as refused: its session would
 // stay in the transaction.
-TEST(MemberOwner, TellsTheLossOfATransactionDuringAPause) {
+TEST(ConnectionOwner, TellsTheLossOfATransactionDuringAPause) {
     session_fixture fixture;
-    member_statement statement;
+    forwarded_statement statement;
     statement.backend = backend_server_id{"r1"};
-    statement.continues = true;
+    statement.continues_transaction = true;
     fixture.owner.paused(at(5000));
     fixture.owner.submit(at(5001), vm_id{"b"}, statement, fixture.out);
     const auto results = fixture.owner.take_results();
@@ -96,10 +96,10 @@
 
 // Guards against starvation: one organisation sends many statements at once, and the first
 // statement of another one must not wait behind all of them.
-TEST(MemberOwner, ServesOrganisationsInTurn) {
+TEST(ConnectionOwner, ServesOrganisationsInTurn) {
     session_fixture fixture;
     const auto submit = [&](const char* organisation, std::uint64_t number) {
-        member_statement statement;
+        forwarded_statement statement;
         statement.lease = connection_id{1000 + number};
         statement.attempt = attempt_id{1000 + number};
         statement.backend = backend_server_id{"r1"};
@@ -126,10 +126,10 @@
     EXPECT_TRUE(quiet_served);
 }
 
-TEST(MemberOwner, GivesBackAsNotRunWhatDoesNotStartInTime) {
+TEST(ConnectionOwner, GivesBackAsNotRunWhatDoesNotStartInTime) {
     session_fixture fixture;
     for (std::uint64_t i = 0; i < 6; ++i) {
-        member_statement statement;
+        forwarded_statement statement;
         statement.lease = connection_id{1000 + i};
         statement.attempt = attempt_id{1000 + i};
         statement.backend = backend_server_id{"r1"};
--- a/tests/core/session_fixture.hpp
+++ b/tests/core/session_fixture.hpp
@@ -85,14 +85,14 @@
     admission_state state{admission_state::admitted};
 };
 
-/// @brief Session executor, `member_gateway`, `member_owner` and connections of one VM; the test
-/// acts as callers and servers.
+/// @brief Session executor, `statement_forwarder`, `connection_owner` and connections of one VM;
+/// the test acts as callers and servers.
 class session_fixture {
   public:
     /// @brief The confirmed primary is `p`; reads go to a replica first.
     explicit session_fixture(consistency_mode consistency = consistency_mode::read_your_writes)
-        : backends{state, {}, ids}, owner{state, backends, {}}, gateway{state, owner, {}, ids},
-          executor{state, gateway, limits, {}} {
+        : backends{state, {}, ids}, owner{state, backends, {}}, forwarder{state, owner, {}, ids},
+          executor{state, forwarder, limits, {}} {
         state.self = vm("a");
         state.live = {state.self};
         state.regions[failure_domain_id{"d1"}] = region_id{"r"};
@@ -190,8 +190,8 @@
     id_sequence<connection_id> ids;
     open_admission limits;
     backend_sessions backends;
-    member_owner owner;
-    member_gateway gateway;
+    connection_owner owner;
+    statement_forwarder forwarder;
     statement_executor executor;
     proxy_output out;
     session_id session{7};
@@ -206,7 +206,7 @@
         for (int i = 0; i < 4; ++i) {
             owner.settle(now, out);
             for (const auto& [entry, result] : owner.take_results()) {
-                gateway.on_result(now, result);
+                forwarder.on_result(now, result);
             }
             executor.settle(now, out);
         }
--- a/tests/core/statement_executor_test.cpp
+++ b/tests/core/statement_executor_test.cpp
@@ -366,21 +366,21 @@
     EXPECT_EQ(rejected.front().problem, statement_error::busy);
 }
 
-// kdrp-vane scale-1 --seed 939875511361 violated PINNED: `continues` was not passed between two
-// VMs, so a statement of a lost transaction ran on a new connection.
-TEST(MemberStatement, KeepsEveryFieldBetweenVms) {
-    member_statement sent;
+// kdrp-vane scale-1 --seed 939875511361 violated PINNED: `continues_transaction` was not passed
+// between two VMs, so a statement of a lost transaction ran on a new connection.
+TEST(ForwardedStatement, KeepsEveryFieldBetweenVms) {
+    forwarded_statement sent;
     sent.lease = connection_id{1};
     sent.attempt = attempt_id{2};
     sent.writes = true;
-    sent.continues = true;
+    sent.continues_transaction = true;
     sent.prepared = prepared_statement{access_mode::write, "q"};
     sent.begin.emplace();
     sent.begin->after = point(3, 4);
-    const auto decoded = decode_peer_message(member_statement::method, to_json(sent));
+    const auto decoded = decode_peer_message(forwarded_statement::method, to_json(sent));
     ASSERT_TRUE(decoded);
-    const auto& received = std::get<member_statement>(decoded.value());
-    EXPECT_TRUE(received.continues);
+    const auto& received = std::get<forwarded_statement>(decoded.value());
+    EXPECT_TRUE(received.continues_transaction);
     EXPECT_TRUE(received.writes);
     EXPECT_EQ(received.prepared, sent.prepared);
     EXPECT_EQ(received.begin->after, sent.begin->after);
