--- a/include/jackdawvane/sessions/duty_lease.hpp
+++ b/include/jackdawvane/sessions/coordinator_lease.hpp
@@ -11,7 +11,7 @@
 namespace jackdawvane {
 
 /// @brief Settings of the lease of the failover coordinator.
-struct duty_lease_settings {
+struct coordinator_lease_settings {
     std::string key{"duty/promotion"};
     /// Time after which the store expires a lease that is not renewed.
     duration lease_duration{std::chrono::seconds{4}};
@@ -31,9 +31,10 @@
 /// The fencing token is the store's version of the key, so it increases with each change of the
 /// holder. Expiry is measured on this VM's clock from before each request was sent, so this VM
 /// stops acting before the store can grant the lease to another VM.
-class duty_lease {
+class coordinator_lease {
   public:
-    duty_lease(vm_id self, duty_lease_settings settings, id_sequence<request_id>& ids);
+    coordinator_lease(vm_id self, coordinator_lease_settings settings,
+                      id_sequence<request_id>& ids);
 
     /// @brief Acquires or renews the lease when due.
     /// @param rank rank of this VM among all, from 0; every VM tries to acquire the lease, as VMs
@@ -58,7 +59,7 @@
     [[nodiscard]] duration acquire_delay(std::size_t rank) const;
 
     vm_id self_;
-    duty_lease_settings settings_;
+    coordinator_lease_settings settings_;
     id_sequence<request_id>& ids_;
     bool holder_{false};
     bool leaving_{false};
--- a/include/jackdawvane/sessions/promotion_duty.hpp
+++ b/include/jackdawvane/sessions/failover_coordinator.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "jackdawvane/sessions/duty_lease.hpp"
+#include "jackdawvane/sessions/coordinator_lease.hpp"
 #include "jackdawvane/sessions/fleet_state.hpp"
 #include "jackdawvane/sessions/group_observer.hpp"
 
@@ -13,7 +13,7 @@
 namespace jackdawvane {
 
 /// @brief Timeouts and intervals of failover.
-struct promotion_duty_settings {
+struct failover_coordinator_settings {
     /// A primary that has not answered any VM for this long is replaced.
     duration primary_timeout{std::chrono::milliseconds{600}};
     /// Time for VMs of other failure domains to report whether they reach the primary: covers
@@ -48,10 +48,10 @@
 /// primary any longer. It waits until the old primary cannot serve or all proofs have expired, then
 /// promotes the replica with the longest log and resumes the others. A leaving primary steps down
 /// first and a replica receives the rest of its log, so no commit is lost.
-class promotion_duty {
+class failover_coordinator {
   public:
-    promotion_duty(fleet_state& state, group_observer& observer, duty_lease& lease,
-                   promotion_duty_settings settings = {});
+    failover_coordinator(fleet_state& state, group_observer& observer, coordinator_lease& lease,
+                         failover_coordinator_settings settings = {});
 
     void tick(time_point now, proxy_output& out);
     void on_control(time_point now, const control_answer& answer, proxy_output& out);
@@ -110,8 +110,8 @@
 
     fleet_state& state_;
     group_observer& observer_;
-    duty_lease& lease_;
-    promotion_duty_settings settings_;
+    coordinator_lease& lease_;
+    failover_coordinator_settings settings_;
     time_point holder_since_{}; ///< Since when this VM queries all servers as lease holder.
     std::map<group_id, attempt> attempts_;
     std::set<group_id> finished_groups_;              ///< Attempts to erase after the current loop.
--- a/include/jackdawvane/sessions/session_proxy.hpp
+++ b/include/jackdawvane/sessions/session_proxy.hpp
@@ -3,9 +3,9 @@
 #include "jackdawvane/configuration/configuration_replica.hpp"
 #include "jackdawvane/limits/rate_limiter.hpp"
 #include "jackdawvane/membership/membership.hpp"
-#include "jackdawvane/sessions/duty_lease.hpp"
+#include "jackdawvane/sessions/coordinator_lease.hpp"
+#include "jackdawvane/sessions/failover_coordinator.hpp"
 #include "jackdawvane/sessions/group_observer.hpp"
-#include "jackdawvane/sessions/promotion_duty.hpp"
 #include "jackdawvane/sessions/statement_executor.hpp"
 #include "jackdawvane/sessions/vm_registration.hpp"
 
@@ -51,8 +51,8 @@
     owner_settings owner;
     forwarder_settings forwarder;
     observer_settings observer;
-    promotion_duty_settings failover;
-    duty_lease_settings coordinator_lease;
+    failover_coordinator_settings failover;
+    coordinator_lease_settings coordinator_lease;
     registration_settings registration;
 };
 
@@ -134,9 +134,9 @@
     configuration_replica configuration_;
     rate_limiter limiter_;
     vm_registration registration_;
-    duty_lease coordinator_lease_;
+    coordinator_lease coordinator_lease_;
     group_observer observer_;
-    promotion_duty coordinator_;
+    failover_coordinator coordinator_;
     backend_sessions backends_;
     connection_owner owner_;
     statement_forwarder forwarder_;
--- a/src/core/sessions/duty_lease.cpp
+++ b/src/core/sessions/coordinator_lease.cpp
@@ -1,4 +1,4 @@
-#include "jackdawvane/sessions/duty_lease.hpp"
+#include "jackdawvane/sessions/coordinator_lease.hpp"
 
 #include <utility>
 
@@ -12,10 +12,11 @@
 
 } // namespace
 
-duty_lease::duty_lease(vm_id self, duty_lease_settings settings, id_sequence<request_id>& ids)
+coordinator_lease::coordinator_lease(vm_id self, coordinator_lease_settings settings,
+                                     id_sequence<request_id>& ids)
     : self_{std::move(self)}, settings_{std::move(settings)}, ids_{ids} {}
 
-void duty_lease::send_request(time_point now, store_operation operation, actions& out) {
+void coordinator_lease::send_request(time_point now, store_operation operation, actions& out) {
     store_request request;
     request.id = request_id_ = ids_.next();
     request.operation = operation_ = operation;
@@ -27,11 +28,11 @@
     out.emplace_back(std::move(request));
 }
 
-duration duty_lease::acquire_delay(std::size_t rank) const {
+duration coordinator_lease::acquire_delay(std::size_t rank) const {
     return settings_.acquire_interval * static_cast<int>(rank + 1);
 }
 
-void duty_lease::tick(time_point now, std::size_t rank, actions& out) {
+void coordinator_lease::tick(time_point now, std::size_t rank, actions& out) {
     if (leaving_) {
         return;
     }
@@ -59,7 +60,7 @@
     }
 }
 
-bool duty_lease::on_store(time_point now, const store_answer& answer, actions& out) {
+bool coordinator_lease::on_store(time_point now, const store_answer& answer, actions& out) {
     if (!request_pending_ || answer.id != request_id_) {
         return false;
     }
@@ -81,7 +82,7 @@
     return true;
 }
 
-void duty_lease::paused(actions& out) {
+void coordinator_lease::paused(actions& out) {
     if (holder_) {
         holder_ = false;
         log(out, log_part, log_level::warning, "lost: this VM was paused");
@@ -89,7 +90,7 @@
     request_pending_ = false;
 }
 
-void duty_lease::leave(actions& out) {
+void coordinator_lease::leave(actions& out) {
     if (!std::exchange(leaving_, true) && holder_) {
         store_request request;
         request.id = ids_.next();
--- a/src/core/sessions/promotion_duty.cpp
+++ b/src/core/sessions/failover_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "jackdawvane/sessions/promotion_duty.hpp"
+#include "jackdawvane/sessions/failover_coordinator.hpp"
 
 #include <utility>
 
@@ -16,19 +16,20 @@
 
 } // namespace
 
-promotion_duty::promotion_duty(fleet_state& state, group_observer& observer, duty_lease& lease,
-                               promotion_duty_settings settings)
+failover_coordinator::failover_coordinator(fleet_state& state, group_observer& observer,
+                                           coordinator_lease& lease,
+                                           failover_coordinator_settings settings)
     : state_{state}, observer_{observer}, lease_{lease}, settings_{settings} {}
 
-bool promotion_duty::send(time_point now, const backend_server_id& backend, command_kind kind,
-                          term command_term, proxy_output& out) {
+bool failover_coordinator::send(time_point now, const backend_server_id& backend, command_kind kind,
+                                term command_term, proxy_output& out) {
     backend_command command;
     command.kind = kind;
     command.term = command_term;
     return observer_.command(now, backend, std::move(command), out);
 }
 
-void promotion_duty::tick(time_point now, proxy_output& out) {
+void failover_coordinator::tick(time_point now, proxy_output& out) {
     if (!lease_.held(now)) {
         if (!attempts_.empty()) {
             log(out.common, log_part, log_level::warning,
@@ -61,12 +62,12 @@
 /// held the lease does not count, because it did not query all servers then. The newest answer of
 /// any server is the reference: when this VM is short of processor time or cut off, all answers are
 /// late, which is no evidence against the primary.
-duration promotion_duty::primary_silent_for(const group_leadership& leadership) const {
+duration failover_coordinator::primary_silent_for(const group_leadership& leadership) const {
     return observer_.heard() - std::max(leadership.primary_seen(), holder_since_);
 }
 
-std::optional<std::string> promotion_duty::replacement_reason(time_point now, const group_id& group,
-                                                              bool& planned) {
+std::optional<std::string>
+failover_coordinator::replacement_reason(time_point now, const group_id& group, bool& planned) {
     const auto& leadership = state_.leadership(group);
     const auto& primary = leadership.primary();
     const auto members = state_.directory.members(group);
@@ -110,8 +111,8 @@
     return {};
 }
 
-void promotion_duty::start(time_point now, const group_id& group, std::string reason, bool planned,
-                           proxy_output& out) {
+void failover_coordinator::start(time_point now, const group_id& group, std::string reason,
+                                 bool planned, proxy_output& out) {
     const auto& leadership = state_.leadership(group);
     attempt current;
     current.reason = std::move(reason);
@@ -135,8 +136,8 @@
     attempts_[group] = std::move(current);
 }
 
-void promotion_duty::advance(time_point now, const group_id& group, attempt& current,
-                             proxy_output& out) {
+void failover_coordinator::advance(time_point now, const group_id& group, attempt& current,
+                                   proxy_output& out) {
     switch (current.step) {
     case phase::confirm:
         advance_confirm(now, group, current, out);
@@ -164,8 +165,8 @@
     }
 }
 
-void promotion_duty::advance_confirm(time_point now, const group_id& group, attempt& current,
-                                     proxy_output& out) {
+void failover_coordinator::advance_confirm(time_point now, const group_id& group, attempt& current,
+                                           proxy_output& out) {
     const bool others_agree =
         current.old_primary && observer_.refused_elsewhere(*current.old_primary) > current.started;
     if (now < current.step_until && !others_agree) {
@@ -186,8 +187,8 @@
     begin_hold(now, group, current, out);
 }
 
-void promotion_duty::advance_step_down(time_point now, const group_id& group, attempt& current,
-                                       proxy_output& out) {
+void failover_coordinator::advance_step_down(time_point now, const group_id& group,
+                                             attempt& current, proxy_output& out) {
     if (current.old_primary_log_end) {
         current.step = phase::catch_up;
         current.step_until = now + settings_.catch_up_timeout;
@@ -200,8 +201,8 @@
     }
 }
 
-void promotion_duty::advance_catch_up(time_point now, const group_id& group, attempt& current,
-                                      proxy_output& out) {
+void failover_coordinator::advance_catch_up(time_point now, const group_id& group, attempt& current,
+                                            proxy_output& out) {
     const auto caught_up = [&](const backend_server_id& server) {
         const auto found = last_status_.find(server);
         return found != last_status_.end() && server != *current.old_primary &&
@@ -220,8 +221,8 @@
     }
 }
 
-void promotion_duty::begin_hold(time_point now, const group_id& group, attempt& current,
-                                proxy_output& out) {
+void failover_coordinator::begin_hold(time_point now, const group_id& group, attempt& current,
+                                      proxy_output& out) {
     current.step = phase::hold;
     current.step_until = now + (current.old_primary_inactive || current.old_primary_log_end
                                     ? settings_.short_hold_timeout
@@ -239,7 +240,8 @@
     current.next_status = now + settings_.retry_delay;
 }
 
-void promotion_duty::on_control(time_point now, const control_answer& answer, proxy_output& out) {
+void failover_coordinator::on_control(time_point now, const control_answer& answer,
+                                      proxy_output& out) {
     if (answer.status) {
         last_status_[answer.backend] = *answer.status;
     }
@@ -265,8 +267,8 @@
     }
 }
 
-void promotion_duty::advance_hold(time_point now, const group_id& group, attempt& current,
-                                  proxy_output& out) {
+void failover_coordinator::advance_hold(time_point now, const group_id& group, attempt& current,
+                                        proxy_output& out) {
     const bool all =
         std::all_of(current.replicas.begin(), current.replicas.end(), [&](const auto& each) {
             return each.second || observer_.refused_at(each.first) > current.started;
@@ -304,7 +306,8 @@
 
 /// With synchronous replicas, at least one of the held replicas must have every commit. A commit is
 /// on `sync_replicas` replicas at least, so fewer than that may be missing.
-bool promotion_duty::enough_replicas_held(const group_id& group, const attempt& current) const {
+bool failover_coordinator::enough_replicas_held(const group_id& group,
+                                                const attempt& current) const {
     const auto* row = state_.find_group(group);
     const std::size_t sync = row == nullptr ? 0 : row->sync_replicas;
     const auto held = static_cast<std::size_t>(
@@ -313,7 +316,8 @@
     return sync == 0 ? held > 0 : held + sync > current.replicas.size();
 }
 
-std::optional<backend_server_id> promotion_duty::best_candidate(const attempt& current) const {
+std::optional<backend_server_id>
+failover_coordinator::best_candidate(const attempt& current) const {
     std::optional<backend_server_id> best;
     std::pair<log_point, bool> best_rank;
     for (const auto& [server, point] : current.replicas) {
@@ -331,8 +335,8 @@
     return best;
 }
 
-void promotion_duty::advance_fence(time_point now, const group_id& group, attempt& current,
-                                   proxy_output& out) {
+void failover_coordinator::advance_fence(time_point now, const group_id& group, attempt& current,
+                                         proxy_output& out) {
     if (!current.old_primary_inactive && current.old_primary) {
         current.old_primary_inactive = observer_.refused_at(*current.old_primary) > current.started;
     }
@@ -341,8 +345,8 @@
     }
 }
 
-void promotion_duty::call_promote(time_point now, const group_id& group, attempt& current,
-                                  proxy_output& out) {
+void failover_coordinator::call_promote(time_point now, const group_id& group, attempt& current,
+                                        proxy_output& out) {
     const auto candidate = best_candidate(current);
     if (!candidate || now - current.started > 2 * settings_.takeover_timeout) {
         end(now, group, "failed: no replica could be promoted in time", out);
@@ -360,8 +364,8 @@
                             " ms=" + std::to_string(to_milliseconds(now - current.started))));
 }
 
-void promotion_duty::on_promotion(time_point now, const promotion_answered& answer,
-                                  proxy_output& out) {
+void failover_coordinator::on_promotion(time_point now, const promotion_answered& answer,
+                                        proxy_output& out) {
     const auto found = attempts_.find(answer.group);
     if (found == attempts_.end() || found->second.step != phase::promote ||
         found->second.candidate != answer.backend) {
@@ -383,8 +387,8 @@
     current.step_until = now + settings_.retry_delay;
 }
 
-void promotion_duty::advance_await_takeover(time_point now, const group_id& group, attempt& current,
-                                            proxy_output& out) {
+void failover_coordinator::advance_await_takeover(time_point now, const group_id& group,
+                                                  attempt& current, proxy_output& out) {
     const auto& leadership = state_.leadership(group);
     if (leadership.primary() == current.candidate && leadership.term() > current.old_term) {
         for (const auto& [server, point] : current.replicas) {
@@ -412,8 +416,8 @@
     }
 }
 
-void promotion_duty::end(time_point now, const group_id& group, const char* outcome,
-                         proxy_output& out) {
+void failover_coordinator::end(time_point now, const group_id& group, const char* outcome,
+                               proxy_output& out) {
     const auto& current = attempts_.at(group);
     log(out.common, log_part, log_level::warning,
         in_group(group, std::string{"end outcome=\""} + outcome +
@@ -425,7 +429,7 @@
 
 /// Makes a primary of an older term that is reachable again step down, and resumes a replica that
 /// an unfinished promotion left held.
-void promotion_duty::reconcile_servers(time_point now, proxy_output& out) {
+void failover_coordinator::reconcile_servers(time_point now, proxy_output& out) {
     for (const auto& [backend, entry] : state_.directory.entries()) {
         const auto status = last_status_.find(backend);
         const auto& leadership = state_.leadership(entry.registration.group);
--- a/tests/core/promotion_duty_test.cpp
+++ b/tests/core/failover_coordinator_test.cpp
@@ -1,4 +1,4 @@
-#include "jackdawvane/sessions/promotion_duty.hpp"
+#include "jackdawvane/sessions/failover_coordinator.hpp"
 
 #include <algorithm>
 
@@ -11,9 +11,9 @@
 using namespace testing; // NOLINT(google-build-using-namespace)
 
 /// @brief A lease holder with a primary and two replicas whose answers the test controls.
-class PromotionDuty : public ::testing::Test {
+class FailoverCoordinator : public ::testing::Test {
   protected:
-    PromotionDuty()
+    FailoverCoordinator()
         : observer{state, {}, connections, requests}, lease{vm_id{"a"}, {}, requests},
           coordinator{state, observer, lease} {
         state.self = vm("a");
@@ -122,8 +122,8 @@
     id_sequence<connection_id> connections;
     id_sequence<request_id> requests;
     group_observer observer;
-    duty_lease lease;
-    promotion_duty coordinator;
+    coordinator_lease lease;
+    failover_coordinator coordinator;
     proxy_output out;
     store_answer fence_answer;
     std::map<connection_id, std::string> names;
@@ -134,13 +134,13 @@
     std::vector<std::pair<std::string, command_kind>> commands;
 };
 
-TEST_F(PromotionDuty, LeavesAHealthyPrimaryAlone) {
+TEST_F(FailoverCoordinator, LeavesAHealthyPrimaryAlone) {
     run(0, 3000);
     EXPECT_TRUE(promotions.empty());
     EXPECT_FALSE(sent("r1", command_kind::hold));
 }
 
-TEST_F(PromotionDuty, PromotesTheLongestLogOfACrashedPrimaryWithTheFence) {
+TEST_F(FailoverCoordinator, PromotesTheLongestLogOfACrashedPrimaryWithTheFence) {
     run(0, 500);
     crash("p", at(500));
     run(500, 1000);
@@ -153,7 +153,7 @@
 
 // Other VMs may hold unexpired proofs of a primary that does not answer this VM but still serves
 // them.
-TEST_F(PromotionDuty, WaitsForProofsOfASilentPrimaryToRunOut) {
+TEST_F(FailoverCoordinator, WaitsForProofsOfASilentPrimaryToRunOut) {
     run(0, 500);
     silent.insert("p");
     std::optional<std::int64_t> held;
@@ -169,7 +169,7 @@
     EXPECT_GE(now - 25 - *held, 800); // The validity of a proof.
 }
 
-TEST_F(PromotionDuty, DoesNothingWhenTheReplicasAreSilentToo) {
+TEST_F(FailoverCoordinator, DoesNothingWhenTheReplicasAreSilentToo) {
     run(0, 500);
     silent = {"p", "r1", "r2"};
     run(500, 4000);
@@ -178,7 +178,7 @@
 
 /// Guards against a lease holder that is short of processor time or cut off, and treats the answers
 /// that it therefore gets late as failures of every primary.
-TEST_F(PromotionDuty, AnswersThatAreAllLateSayNothingOfThePrimary) {
+TEST_F(FailoverCoordinator, AnswersThatAreAllLateSayNothingOfThePrimary) {
     run(0, 500);
     silent = {"p", "r1", "r2"};
     run(500, 1900);
@@ -188,7 +188,7 @@
 
 /// Guards against a new lease holder that treats stale evidence as a failure of the primary: a VM
 /// without the lease queries only the groups that its statements need.
-TEST_F(PromotionDuty, NewHolderAsksBeforeItJudges) {
+TEST_F(FailoverCoordinator, NewHolderAsksBeforeItJudges) {
     run(0, 500);
     lease.paused(out.common);
     coordinator.tick(at(520), out);
@@ -205,7 +205,7 @@
 }
 
 // Without the step-down a commit that only the leaving primary has would be lost.
-TEST_F(PromotionDuty, LeavingPrimaryStepsDownBeforeAReplicaIsPromoted) {
+TEST_F(FailoverCoordinator, LeavingPrimaryStepsDownBeforeAReplicaIsPromoted) {
     run(0, 500);
     auto leaving = registration("p");
     leaving.leaving = true;
@@ -221,7 +221,7 @@
     EXPECT_EQ(promotions.front().backend, backend_server_id{"r2"});
 }
 
-TEST_F(PromotionDuty, TriesAnotherReplicaWhenTheFirstIsNotRunning) {
+TEST_F(FailoverCoordinator, TriesAnotherReplicaWhenTheFirstIsNotRunning) {
     run(0, 500);
     crash("p", at(500));
     run(500, 1000);
@@ -232,7 +232,7 @@
     EXPECT_EQ(promotions.back().backend, backend_server_id{"r2"});
 }
 
-TEST_F(PromotionDuty, OldPrimaryThatComesBackStepsDown) {
+TEST_F(FailoverCoordinator, OldPrimaryThatComesBackStepsDown) {
     run(0, 500);
     crash("p", at(500));
     run(500, 1000);
@@ -246,7 +246,7 @@
 }
 
 // A holder whose lease may have expired must not act, as another VM may hold the lease.
-TEST_F(PromotionDuty, StopsWithoutTheLease) {
+TEST_F(FailoverCoordinator, StopsWithoutTheLease) {
     run(0, 500);
     lease.paused(out.common);
     crash("p", at(500));
@@ -255,9 +255,9 @@
     EXPECT_FALSE(coordinator.replacement_in_progress());
 }
 
-TEST(DutyLease, EndsByItsOwnClockBeforeTheStoreCanGiveItAway) {
+TEST(CoordinatorLease, EndsByItsOwnClockBeforeTheStoreCanGiveItAway) {
     id_sequence<request_id> ids;
-    duty_lease lease{vm_id{"a"}, {}, ids};
+    coordinator_lease lease{vm_id{"a"}, {}, ids};
     actions out;
     lease.tick(at(0), 0, out);
     const auto id = std::get<store_request>(out.front()).id;
@@ -272,13 +272,13 @@
     std::size_t max_attempts; ///< In one minute.
 };
 
-class DutyRanks : public ::testing::TestWithParam<coordinator_rank_case> {
+class CoordinatorRanks : public ::testing::TestWithParam<coordinator_rank_case> {
   protected:
     /// Times in ms of the acquire attempts in one minute. The store refuses them or, without
     /// @a answered, does not answer.
     static std::vector<int> attempt_times(bool answered) {
         id_sequence<request_id> requests;
-        duty_lease lease{vm_id{"a"}, {}, requests};
+        coordinator_lease lease{vm_id{"a"}, {}, requests};
         std::vector<int> found;
         for (int ms = 0; ms < 60'000; ms += 50) {
             actions out;
@@ -299,7 +299,7 @@
 /// Guards against a lease that no VM acquires while the VMs of the lowest ranks are cut off from
 /// the store, and against a whole fleet that requests it often, also when the store does not
 /// answer.
-TEST_P(DutyRanks, EveryVmTriesAndLaterOnesRarely) {
+TEST_P(CoordinatorRanks, EveryVmTriesAndLaterOnesRarely) {
     for (const bool answered : {true, false}) {
         const auto times = attempt_times(answered);
         ASSERT_FALSE(times.empty());
@@ -308,16 +308,16 @@
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(DutyLease, DutyRanks,
+INSTANTIATE_TEST_SUITE_P(CoordinatorLease, CoordinatorRanks,
                          ::testing::Values(coordinator_rank_case{0, 0, 60},
                                            coordinator_rank_case{2, 0, 20},
                                            coordinator_rank_case{3, 4'000, 15},
                                            coordinator_rank_case{20, 21'000, 2}));
 
 /// Guards against a VM that waits according to its previous rank after VMs of lower rank have gone.
-TEST(DutyLease, VmThatComesFirstTriesByItsNewRank) {
+TEST(CoordinatorLease, VmThatComesFirstTriesByItsNewRank) {
     id_sequence<request_id> requests;
-    duty_lease lease{vm_id{"a"}, {}, requests};
+    coordinator_lease lease{vm_id{"a"}, {}, requests};
     const auto attempts_at = [&](int ms, std::size_t rank) {
         actions out;
         lease.tick(at(ms), rank, out);
@@ -336,9 +336,9 @@
     EXPECT_TRUE(attempts_at(8'000, 0));
 }
 
-TEST(DutyLease, RenewalThatFindsTheLeaseExpiredLosesIt) {
+TEST(CoordinatorLease, RenewalThatFindsTheLeaseExpiredLosesIt) {
     id_sequence<request_id> ids;
-    duty_lease lease{vm_id{"a"}, {}, ids};
+    coordinator_lease lease{vm_id{"a"}, {}, ids};
     actions out;
     lease.tick(at(0), 0, out);
     const auto id = std::get<store_request>(out.front()).id;
