--- a/include/jackdawvane/sessions/backend_directory.hpp
+++ b/include/jackdawvane/sessions/backend_directory.hpp
@@ -27,7 +27,7 @@
         backend_registration registration;
         time_point leaving_since{no_deadline}; ///< When it was first listed as leaving.
         /// Time of the last read that listed it as not leaving; `min()` when there was none.
-        time_point staying_at{time_point::min()};
+        time_point last_listed_staying{time_point::min()};
         time_point absent_since{no_deadline}; ///< Missing after an outage of the registry.
     };
 
--- a/include/jackdawvane/sessions/fleet_state.hpp
+++ b/include/jackdawvane/sessions/fleet_state.hpp
@@ -23,13 +23,13 @@
     std::map<failure_domain_id, region_id> regions; ///< Region of each failure domain.
     /// Groups whose leadership evidence statements wait for or will need soon; the observer queries
     /// for it and clears the set.
-    std::set<group_id> awaited;
+    std::set<group_id> groups_awaiting_evidence;
 
     /// @brief Leadership of @a group; created on first use.
     group_leadership& leadership(const group_id& group) { return leaderships[group]; }
 
     /// @brief Copies the backend servers of all groups from the directory to their leaderships.
-    void follow_directory() {
+    void update_group_members() {
         for (const auto& group : directory.groups()) {
             leaderships[group].set_members(directory.members(group));
         }
--- a/include/jackdawvane/sessions/group_leadership.hpp
+++ b/include/jackdawvane/sessions/group_leadership.hpp
@@ -60,11 +60,11 @@
     /// @brief Time at which the current proof was requested.
     [[nodiscard]] time_point confirmed_at() const noexcept { return confirmed_at_; }
     /// @brief Send time of the latest request that the primary has answered.
-    [[nodiscard]] time_point primary_seen() const noexcept { return primary_seen_; }
+    [[nodiscard]] time_point primary_answered_at() const noexcept { return primary_answered_at_; }
 
     /// @brief Log position that includes every commit acknowledged before @a when.
     /// @return nothing when no such position is known
-    [[nodiscard]] std::optional<log_point> point_since(time_point when) const noexcept;
+    [[nodiscard]] std::optional<log_point> point_covering(time_point when) const noexcept;
     /// @brief Newest known log position of the primary.
     [[nodiscard]] std::optional<log_point> newest_point() const noexcept;
 
@@ -101,7 +101,7 @@
     std::map<backend_server_id, evidence> evidence_;
     time_point confirmed_at_{time_point::min()};
     time_point usable_from_{};
-    time_point primary_seen_{time_point::min()};
+    time_point primary_answered_at_{time_point::min()};
     time_point closed_since_{time_point::max()};
     jackdawvane::term closed_term_; ///< A hold has ended this term and all lower ones.
     bool stepped_down_{false};
--- a/include/jackdawvane/sessions/group_observer.hpp
+++ b/include/jackdawvane/sessions/group_observer.hpp
@@ -87,7 +87,7 @@
     [[nodiscard]] time_point next_deadline() const noexcept { return due_; }
 
     /// @brief Sets whether this VM observes all backend servers itself, as failover coordinator.
-    void set_always_active(bool active) noexcept { always_active_ = active; }
+    void set_observes_all(bool enabled) noexcept { observes_all_ = enabled; }
 
     /// @brief Sends a control command on the control connection of @a backend.
     /// @return whether a connection is open
@@ -95,9 +95,10 @@
                  proxy_output& out);
     /// @brief Queries one VM of each other failure domain and the first observers of each region
     /// about @a groups and the registry.
-    void ask_other_domains(time_point now, const std::vector<group_id>& groups, proxy_output& out);
+    void query_other_domains(time_point now, const std::vector<group_id>& groups,
+                             proxy_output& out);
     /// @brief Queries the observers of the groups whose evidence statements wait for.
-    void query_awaited(time_point now, proxy_output& out);
+    void query_awaited_groups(time_point now, proxy_output& out);
 
     /// @return whether the connection is one of the control connections
     bool on_ready(time_point now, const server_connected& ready, proxy_output& out);
@@ -117,7 +118,7 @@
     [[nodiscard]] time_point refused_at(const backend_server_id& backend) const;
 
     /// @brief As `refused_at`, for connection attempts that other VMs reported.
-    [[nodiscard]] time_point refused_elsewhere(const backend_server_id& backend) const;
+    [[nodiscard]] time_point refused_by_others_at(const backend_server_id& backend) const;
 
     /// @brief Closes the control connections.
     void leave(proxy_output& out);
@@ -188,11 +189,11 @@
     std::map<backend_server_id, control_connection> controls_;
     std::map<connection_id, backend_server_id> by_connection_;
     std::map<backend_server_id, observation> observations_;
-    std::map<backend_server_id, time_point> refused_elsewhere_;
+    std::map<backend_server_id, time_point> refused_by_others_at_;
     std::vector<control_answer> answers_;
     time_point heard_{};
 
-    bool always_active_{false};
+    bool observes_all_{false};
     std::set<group_id> observed_; ///< Groups whose backend servers this VM polls.
     /// VMs of this region by task, in order of preference, as of fleet version
     /// `candidates_version_`.
--- a/src/core/sessions/backend_directory.cpp
+++ b/src/core/sessions/backend_directory.cpp
@@ -26,7 +26,7 @@
         own.absent_since = no_deadline;
         if (!registration.leaving) {
             own.leaving_since = no_deadline;
-            own.staying_at = std::max(own.staying_at, read_at);
+            own.last_listed_staying = std::max(own.last_listed_staying, read_at);
         } else if (own.leaving_since == no_deadline) {
             own.leaving_since = now;
         }
--- a/src/core/sessions/failover_coordinator.cpp
+++ b/src/core/sessions/failover_coordinator.cpp
@@ -63,7 +63,7 @@
 /// any server is the reference: when this VM is short of processor time or cut off, all answers are
 /// late, which is no evidence against the primary.
 duration failover_coordinator::primary_silent_for(const group_leadership& leadership) const {
-    return observer_.heard() - std::max(leadership.primary_seen(), holder_since_);
+    return observer_.heard() - std::max(leadership.primary_answered_at(), holder_since_);
 }
 
 std::optional<std::string>
@@ -86,7 +86,7 @@
     const auto silent_for = primary_silent_for(leadership);
     if (entry == nullptr) {
         return silent_for > settings_.primary_timeout ||
-                       leadership.primary_seen() == time_point::min()
+                       leadership.primary_answered_at() == time_point::min()
                    ? std::optional<std::string>{"primary is not registered"}
                    : std::nullopt;
     }
@@ -102,10 +102,11 @@
         planned = has_successor;
         return has_successor ? std::optional<std::string>{"primary is leaving"} : std::nullopt;
     }
-    if (observer_.refused_at(*primary) > leadership.primary_seen()) {
+    if (observer_.refused_at(*primary) > leadership.primary_answered_at()) {
         return "primary is down";
     }
-    if (leadership.primary_seen() != time_point::min() && silent_for > settings_.primary_timeout) {
+    if (leadership.primary_answered_at() != time_point::min() &&
+        silent_for > settings_.primary_timeout) {
         return "primary does not answer";
     }
     return {};
@@ -131,7 +132,7 @@
         send(now, *current.old_primary, command_kind::step_down, current.target_term, out);
     } else {
         current.step_until = now + settings_.confirmation_timeout;
-        observer_.ask_other_domains(now, {group}, out);
+        observer_.query_other_domains(now, {group}, out);
     }
     attempts_[group] = std::move(current);
 }
@@ -167,12 +168,12 @@
 
 void failover_coordinator::advance_confirm(time_point now, const group_id& group, attempt& current,
                                            proxy_output& out) {
-    const bool others_agree =
-        current.old_primary && observer_.refused_elsewhere(*current.old_primary) > current.started;
+    const bool others_agree = current.old_primary && observer_.refused_by_others_at(
+                                                         *current.old_primary) > current.started;
     if (now < current.step_until && !others_agree) {
         if (now >= current.next_status) {
             current.next_status = now + settings_.confirmation_timeout / 4;
-            observer_.ask_other_domains(now, {group}, out);
+            observer_.query_other_domains(now, {group}, out);
         }
         return;
     }
@@ -183,7 +184,7 @@
     }
     current.old_primary_inactive =
         !current.old_primary ||
-        observer_.refused_at(*current.old_primary) > state_.leadership(group).primary_seen();
+        observer_.refused_at(*current.old_primary) > state_.leadership(group).primary_answered_at();
     begin_hold(now, group, current, out);
 }
 
@@ -197,7 +198,7 @@
         current.planned = false;
         current.step = phase::confirm;
         current.step_until = now + settings_.confirmation_timeout;
-        observer_.ask_other_domains(now, {group}, out);
+        observer_.query_other_domains(now, {group}, out);
     }
 }
 
--- a/src/core/sessions/group_leadership.cpp
+++ b/src/core/sessions/group_leadership.cpp
@@ -27,7 +27,7 @@
     }
     if (primary_ == server && status.term == term_) {
         stepped_down_ = status.role != backend_role::primary;
-        primary_seen_ = std::max(primary_seen_, requested_at);
+        primary_answered_at_ = std::max(primary_answered_at_, requested_at);
         // VMs commit in a term only after all proofs of earlier terms have expired.
         if (status.received.term == term_) {
             usable_from_ = std::min(usable_from_, now);
@@ -50,7 +50,7 @@
     primary_ = primary;
     stepped_down_ = false;
     confirmed_at_ = time_point::min();
-    primary_seen_ = time_point::min();
+    primary_answered_at_ = time_point::min();
     samples_.clear();
     for (auto& [server, own] : evidence_) {
         own.supports_primary = false;
@@ -98,7 +98,7 @@
         all_down = own.refused ? std::min(all_down, own.requested_at) : time_point::min();
     }
     if (!others) {
-        confirmed_at_ = std::max(confirmed_at_, primary_seen_);
+        confirmed_at_ = std::max(confirmed_at_, primary_answered_at_);
     } else if (all_down != time_point::max()) {
         confirmed_at_ = std::max(confirmed_at_, all_down);
     }
@@ -122,7 +122,7 @@
                                    const log_point& position) {
     received_[server] = position;
     if (primary_ == server && !stepped_down_) {
-        primary_seen_ = std::max(primary_seen_, requested_at);
+        primary_answered_at_ = std::max(primary_answered_at_, requested_at);
         add_sample(requested_at, position);
     }
 }
@@ -143,7 +143,7 @@
     }
 }
 
-std::optional<log_point> group_leadership::point_since(time_point when) const noexcept {
+std::optional<log_point> group_leadership::point_covering(time_point when) const noexcept {
     const auto found = std::lower_bound(
         samples_.begin(), samples_.end(), when,
         [](const sample& each, time_point limit) { return each.requested_at < limit; });
--- a/src/core/sessions/group_observer.cpp
+++ b/src/core/sessions/group_observer.cpp
@@ -34,7 +34,7 @@
     if (state_.directory.known() &&
         now - state_.directory.read_at() > settings_.directory_stale_after &&
         now >= next_other_domain_query_) {
-        ask_other_domains(now, {}, out);
+        query_other_domains(now, {}, out);
     }
     due_ = now + (controls_.empty() && queries_.empty() ? idle_step : tick_step);
 }
@@ -73,7 +73,7 @@
     choose_reader(now);
     observed_.clear();
     for (const auto& group : state_.directory.groups()) {
-        if (always_active_ || observe_until_.contains(group) || observer_of(now, group).empty()) {
+        if (observes_all_ || observe_until_.contains(group) || observer_of(now, group).empty()) {
             observed_.insert(group);
         }
     }
@@ -117,7 +117,7 @@
         report_failed_read(now, out);
     }
     const bool direct_read = reader_.empty() && list_older_than(now, settings_.direct_read_after);
-    const bool wanted = always_active_ || is_reader_ || direct_read || !state_.directory.known();
+    const bool wanted = observes_all_ || is_reader_ || direct_read || !state_.directory.known();
     if (!wanted || directory_pending_ || now < next_directory_read_) {
         return;
     }
@@ -150,7 +150,7 @@
     if (!state_.directory.update(now, read_at, version, list)) {
         return;
     }
-    state_.follow_directory();
+    state_.update_group_members();
     log(out.common, log_part, log_level::info,
         "registry version=" + std::to_string(version) + " backends=" + std::to_string(list.size()) +
             " source=" + source + " age_ms=" + age_text(now, read_at));
@@ -158,7 +158,8 @@
         if (entry.leaving_since == now) {
             log(out.common, log_part, log_level::info,
                 "leaving backend=" + backend.str() + " group=" + entry.registration.group.str() +
-                    " staying_age_ms=" + age_text(now, entry.staying_at) + " source=" + source);
+                    " staying_age_ms=" + age_text(now, entry.last_listed_staying) +
+                    " source=" + source);
         }
     }
 }
@@ -369,9 +370,9 @@
     return found == controls_.end() ? time_point::min() : found->second.refused_at;
 }
 
-time_point group_observer::refused_elsewhere(const backend_server_id& backend) const {
-    const auto found = refused_elsewhere_.find(backend);
-    return found == refused_elsewhere_.end() ? time_point::min() : found->second;
+time_point group_observer::refused_by_others_at(const backend_server_id& backend) const {
+    const auto found = refused_by_others_at_.find(backend);
+    return found == refused_by_others_at_.end() ? time_point::min() : found->second;
 }
 
 void group_observer::leave(proxy_output& out) {
--- a/src/core/sessions/group_observer_queries.cpp
+++ b/src/core/sessions/group_observer_queries.cpp
@@ -53,9 +53,9 @@
     send_query(now, reader_, {}, false, out);
 }
 
-void group_observer::query_awaited(time_point now, proxy_output& out) {
+void group_observer::query_awaited_groups(time_point now, proxy_output& out) {
     std::map<vm_id, std::vector<group_id>> queries;
-    for (const auto& group : std::exchange(state_.awaited, {})) {
+    for (const auto& group : std::exchange(state_.groups_awaiting_evidence, {})) {
         auto& next = next_group_query_[group];
         if (now < next || observed_.contains(group)) {
             continue;
@@ -83,8 +83,8 @@
     out.common.emplace_back(send_to_peer{to, vm->peer, peer_channel::stream, std::move(query)});
 }
 
-void group_observer::ask_other_domains(time_point now, const std::vector<group_id>& groups,
-                                       proxy_output& out) {
+void group_observer::query_other_domains(time_point now, const std::vector<group_id>& groups,
+                                         proxy_output& out) {
     next_other_domain_query_ = now + settings_.other_domain_query_interval;
     const auto subject = groups.empty() ? std::string{task} : task + ("/" + groups.front().str());
     std::set<vm_id> targets;
@@ -214,7 +214,7 @@
         leadership.on_status(now, requested_at, each.backend, *each.status);
     } else {
         leadership.on_refused(requested_at, each.backend);
-        refused_elsewhere_[each.backend] = requested_at;
+        refused_by_others_at_[each.backend] = requested_at;
     }
 }
 
--- a/src/core/sessions/session_proxy.cpp
+++ b/src/core/sessions/session_proxy.cpp
@@ -117,7 +117,7 @@
         backends_.tick(now, out);
         owner_.tick(now, out);
     }
-    observer_.set_always_active(coordinator_lease_.held(now));
+    observer_.set_observes_all(coordinator_lease_.held(now));
     if (observer_.next_deadline() <= now) {
         observer_.tick(now, out);
         coordinator_.tick(now, out);
@@ -143,7 +143,7 @@
         coordinator_.on_control(now, answer, out);
     }
     settle_statements(now, out);
-    observer_.query_awaited(now, out);
+    observer_.query_awaited_groups(now, out);
     report_readiness(out);
     if (leaving_) {
         finish_leaving(now, out);
--- a/src/core/sessions/statement_placement.cpp
+++ b/src/core/sessions/statement_placement.cpp
@@ -71,7 +71,7 @@
             return true;
         }
         if (!leadership.confirmed(now)) {
-            state_.awaited.insert(routes_.at(session.id).group);
+            state_.groups_awaiting_evidence.insert(routes_.at(session.id).group);
             return false;
         }
     }
@@ -83,16 +83,17 @@
                                           proxy_output& out) {
     const auto& group = routes_.at(session.id).group;
     const auto& leadership = state_.leadership(group);
-    const auto oldest = std::min(leadership.confirmed_at(), leadership.primary_seen());
+    const auto oldest = std::min(leadership.confirmed_at(), leadership.primary_answered_at());
     if (oldest == time_point::min() || now - oldest > settings_.evidence_refresh_age) {
-        state_.awaited.insert(group);
+        state_.groups_awaiting_evidence.insert(group);
     }
     const auto* entry =
         leadership.primary() ? state_.directory.find(*leadership.primary()) : nullptr;
     if (entry != nullptr && may_stop_soon(now, *entry)) {
         return false;
     }
-    if (!leadership.confirmed(now) || now - leadership.primary_seen() > settings_.primary_silence ||
+    if (!leadership.confirmed(now) ||
+        now - leadership.primary_answered_at() > settings_.primary_silence ||
         !forwarder_.open(now, *leadership.primary())) {
         return false;
     }
@@ -107,7 +108,7 @@
     const auto& route = routes_.at(session.id);
     auto& leadership = state_.leadership(route.group);
     const auto bound = from_milliseconds(route.row->max_staleness_ms.value_or(0));
-    auto required = leadership.point_since(session.work->received - bound);
+    auto required = leadership.point_covering(session.work->received - bound);
     const auto floor = session.floors.find(route.group);
     if (floor == session.floors.end()) {
         return required;
@@ -139,8 +140,9 @@
 /// this VM's list may have been stale, or this may be its first one.
 bool statement_executor::may_stop_soon(time_point now,
                                        const backend_directory::entry& backend) const {
-    return backend.registration.leaving && (backend.staying_at == time_point::min() ||
-                                            now - backend.staying_at > settings_.leaving_use_limit);
+    return backend.registration.leaving &&
+           (backend.last_listed_staying == time_point::min() ||
+            now - backend.last_listed_staying > settings_.leaving_use_limit);
 }
 
 std::vector<read_candidate>
@@ -178,7 +180,7 @@
 bool statement_executor::place_read(time_point now, caller_session& session, proxy_output& out) {
     const auto required = required_point(now, session);
     if (!required) {
-        state_.awaited.insert(routes_.at(session.id).group);
+        state_.groups_awaiting_evidence.insert(routes_.at(session.id).group);
     }
     const auto chosen = choose_backend(candidates(now, session, required), settings_.choice);
     if (!chosen) {
@@ -224,7 +226,7 @@
     log_statement(session, "to_leaving",
                   "backend=" + backend.str() +
                       " leaving_ms=" + age_text(now, entry->leaving_since) +
-                      " staying_age_ms=" + age_text(now, entry->staying_at) +
+                      " staying_age_ms=" + age_text(now, entry->last_listed_staying) +
                       " registry_age_ms=" + age_text(now, state_.directory.read_at()),
                   log_level::info, out);
 }
--- a/src/core/sessions/statement_results.cpp
+++ b/src/core/sessions/statement_results.cpp
@@ -84,7 +84,7 @@
     }
     if (leadership.term() == work.primary_term &&
         now < work.answered + settings_.confirmation_limit) {
-        state_.awaited.insert(routes_.at(session.id).group);
+        state_.groups_awaiting_evidence.insert(routes_.at(session.id).group);
         return;
     }
     const auto connection = work.unconfirmed_result->lease;
@@ -306,7 +306,7 @@
            " term=" + std::to_string(leadership.term().value()) +
            " primary=" + (leadership.primary() ? leadership.primary()->str() : "-") +
            " proof_age_ms=" + age_text(now, leadership.confirmed_at()) +
-           " primary_age_ms=" + age_text(now, leadership.primary_seen());
+           " primary_age_ms=" + age_text(now, leadership.primary_answered_at());
 }
 
 std::string statement_executor::unavailable_reason(time_point now,
--- a/tests/core/backend_sessions_test.cpp
+++ b/tests/core/backend_sessions_test.cpp
@@ -38,7 +38,7 @@
         auto entry = registration("p");
         entry.slots = slots;
         state.directory.update(at(0), at(0), 1, {entry});
-        state.follow_directory();
+        state.update_group_members();
     }
 
     /// Simulates one millisecond of the owner and the server.
--- a/tests/core/failover_coordinator_test.cpp
+++ b/tests/core/failover_coordinator_test.cpp
@@ -21,7 +21,7 @@
         state.configuration = session_configuration();
         state.directory.update(at(0), at(0), 1,
                                {registration("p"), registration("r1"), registration("r2")});
-        state.follow_directory();
+        state.update_group_members();
         status["p"] = primary_status(1, point(1, 10));
         status["r1"] = replica_status(1, point(1, 10));
         status["r2"] = replica_status(1, point(1, 9));
@@ -32,7 +32,7 @@
             }
         }
         EXPECT_TRUE(lease.on_store(at(1), fence_answer, out.common));
-        observer.set_always_active(true);
+        observer.set_observes_all(true);
     }
 
     /// Runs one tick at @a milliseconds; servers that are up answer immediately.
--- a/tests/core/group_leadership_test.cpp
+++ b/tests/core/group_leadership_test.cpp
@@ -106,15 +106,15 @@
     prove(0);
     leadership.on_position(at(100), p, point(1, 7));
     leadership.on_position(at(200), p, point(1, 9));
-    EXPECT_EQ(leadership.point_since(at(50)), point(1, 7));
-    EXPECT_EQ(leadership.point_since(at(101)), point(1, 9));
-    EXPECT_EQ(leadership.point_since(at(201)), std::nullopt);
+    EXPECT_EQ(leadership.point_covering(at(50)), point(1, 7));
+    EXPECT_EQ(leadership.point_covering(at(101)), point(1, 9));
+    EXPECT_EQ(leadership.point_covering(at(201)), std::nullopt);
 }
 
 TEST_F(GroupLeadership, PointsOfAReplacedPrimaryAreForgotten) {
     prove(0);
     leadership.on_status(at(100), at(100), r1, primary_status(2, point(1, 4)));
-    EXPECT_EQ(leadership.point_since(at(0)), std::nullopt);
+    EXPECT_EQ(leadership.point_covering(at(0)), std::nullopt);
 }
 
 } // namespace
--- a/tests/core/group_observer_test.cpp
+++ b/tests/core/group_observer_test.cpp
@@ -71,13 +71,13 @@
         document->organisations[organisation_id{"o"}] = {};
         state.configuration = document;
         state.directory.update(at(0), at(0), 1, registry());
-        state.follow_directory();
+        state.update_group_members();
     }
 
     proxy_output tick(time_point now) {
         proxy_output out;
         observer.tick(now, out);
-        observer.query_awaited(now, out);
+        observer.query_awaited_groups(now, out);
         return out;
     }
 
@@ -138,14 +138,14 @@
         }
     }
     EXPECT_LE(query_count, 12U);
-    vm.state.awaited = {group_at(3), group_at(4)};
+    vm.state.groups_awaiting_evidence = {group_at(3), group_at(4)};
     std::set<group_id> asked;
     for (const auto& sent : observing_vm::queries(vm.tick(at(10'000)))) {
         const auto& groups = std::get<observation_query>(sent.message).groups;
         asked.insert(groups.begin(), groups.end());
     }
     EXPECT_EQ(asked, (std::set<group_id>{group_at(3), group_at(4)}));
-    vm.state.awaited = {group_at(3)};
+    vm.state.groups_awaiting_evidence = {group_at(3)};
     EXPECT_TRUE(observing_vm::queries(vm.tick(at(10'010))).empty())
         << "queried again before query_interval had passed";
 }
@@ -171,7 +171,7 @@
 /// recorded only with a proof, and the answer may list the primary before the replicas.
 TEST(GroupObserver, OneAnswerProvesThePrimaryAndItsPosition) {
     observing_vm vm{7};
-    vm.state.awaited = {group_at(3)};
+    vm.state.groups_awaiting_evidence = {group_at(3)};
     const auto sent = observing_vm::queries(vm.tick(at(100)));
     const auto asked = std::find_if(sent.begin(), sent.end(), [](const auto& each) {
         return !std::get<observation_query>(each.message).groups.empty();
@@ -185,7 +185,7 @@
     proxy_output out;
     vm.observer.on_answer(at(101), asked->vm, reply, out);
     EXPECT_TRUE(vm.state.leadership(g).confirmed(at(101)));
-    EXPECT_TRUE(vm.state.leadership(g).point_since(at(100)));
+    EXPECT_TRUE(vm.state.leadership(g).point_covering(at(100)));
 }
 
 /// Guards against a VM that keeps querying an observer that does not answer.
@@ -193,7 +193,7 @@
     observing_vm vm{7};
     std::set<vm_id> asked;
     for (int ms = 0; ms < 1'000; ms += 25) {
-        vm.state.awaited = {group_at(3)};
+        vm.state.groups_awaiting_evidence = {group_at(3)};
         for (const auto& sent : observing_vm::queries(vm.tick(at(ms)))) {
             if (!std::get<observation_query>(sent.message).groups.empty()) {
                 asked.insert(sent.vm);
--- a/tests/core/session_fixture.hpp
+++ b/tests/core/session_fixture.hpp
@@ -99,7 +99,7 @@
         state.configuration = session_configuration(consistency);
         state.directory.update(at(0), at(0), 1,
                                {registration("p"), registration("r1"), registration("r2")});
-        state.follow_directory();
+        state.update_group_members();
         prove(0);
     }
 
--- a/tests/core/statement_executor_test.cpp
+++ b/tests/core/statement_executor_test.cpp
@@ -95,7 +95,7 @@
 
 struct leaving_server_case {
     const char* name;
-    int staying_at; ///< Last read that did not list the server as leaving; -1 for none.
+    int last_listed_staying; ///< Last read that did not list the server as leaving; -1 for none.
     bool sent;
 };
 
@@ -108,8 +108,8 @@
     session_fixture fixture;
     fixture.state.directory = backend_directory{};
     std::vector<backend_registration> list{registration("p")};
-    if (GetParam().staying_at >= 0) {
-        fixture.state.directory.update(at(0), at(GetParam().staying_at), 1, list);
+    if (GetParam().last_listed_staying >= 0) {
+        fixture.state.directory.update(at(0), at(GetParam().last_listed_staying), 1, list);
     }
     list.front().leaving = true;
     fixture.state.directory.update(at(read_at), at(read_at), 2, list);
