--- a/include/jackdawvane/limits/limiter_context.hpp
+++ b/include/jackdawvane/limits/limiter_context.hpp
@@ -17,7 +17,7 @@
     duration joining{
         std::chrono::milliseconds{50}}; ///< As `pending`, before the share is confirmed.
     /// Whether a request may also wait for this VM's share to refill.
-    bool waits_for_own_share{false};
+    bool waits_for_local_refill{false};
     /// Grants are accepted this long after the request.
     duration grant_validity{std::chrono::milliseconds{150}};
     duration lease{std::chrono::seconds{30}};
@@ -28,7 +28,7 @@
     std::uint32_t groups{16};
     std::uint32_t holders_per_domain{3};
     /// Over all failure domains.
-    std::uint32_t most_holders{std::numeric_limits<std::uint32_t>::max()};
+    std::uint32_t max_holders{std::numeric_limits<std::uint32_t>::max()};
     /// Token requests per organisation that yield no tokens; bounds the messages under overload.
     double messages_per_second{30};
     share_settings shares;
@@ -37,14 +37,14 @@
         using self = rate_limiter_settings;
         return std::tuple{field("pending_us", &self::pending),
                           field("joining_us", &self::joining),
-                          field("waits_for_own_share", &self::waits_for_own_share),
+                          field("waits_for_own_share", &self::waits_for_local_refill),
                           field("grant_validity_us", &self::grant_validity),
                           field("lease_us", &self::lease),
                           field("lease_renewal_us", &self::lease_renewal),
                           field("share_interval_us", &self::share_interval),
                           field("groups", &self::groups),
                           field("holders_per_domain", &self::holders_per_domain),
-                          field("most_holders", &self::most_holders),
+                          field("most_holders", &self::max_holders),
                           field("messages_per_second", &self::messages_per_second),
                           field("shares", &self::shares)};
     }
--- a/include/jackdawvane/limits/share_ledger.hpp
+++ b/include/jackdawvane/limits/share_ledger.hpp
@@ -29,7 +29,7 @@
     duration takeover_step{std::chrono::seconds{2}}; ///< Delay per rank before shared work is done.
     /// A VM that is no longer a target releases its part after this time. Other VMs do not ask it
     /// for tokens, so its part is unused until then.
-    duration return_after{std::chrono::seconds{90}};
+    duration release_delay{std::chrono::seconds{90}};
     /// Time from the last use of a part until another VM may hold it: tokens in transit settle
     /// first.
     duration settle{std::chrono::milliseconds{500}};
@@ -41,7 +41,7 @@
                           field("join_spread_us", &share_settings::join_spread),
                           field("join_settle_us", &share_settings::join_settle),
                           field("takeover_step_us", &share_settings::takeover_step),
-                          field("return_after_us", &share_settings::return_after),
+                          field("return_after_us", &share_settings::release_delay),
                           field("settle_us", &share_settings::settle),
                           field("shortest_retry_us", &share_settings::shortest_retry),
                           field("longest_retry_us", &share_settings::longest_retry)};
--- a/include/jackdawvane/sessions/session_proxy.hpp
+++ b/include/jackdawvane/sessions/session_proxy.hpp
@@ -24,7 +24,7 @@
     /// VMs of each failure domain that hold a share of an organisation's rate.
     std::uint32_t holders_per_domain{3};
     /// VMs of all failure domains that hold a share of an organisation's rate.
-    std::uint32_t most_holders{9};
+    std::uint32_t max_holders{9};
     /// Longest wait of an operation for its organisation's rate limit; far below any target
     /// latency.
     duration token_wait{from_milliseconds(200)};
@@ -42,7 +42,7 @@
     duration min_share_retry_delay{from_milliseconds(60)};
     /// Delay of the first join, until the views of the fleet converge when all VMs start together.
     duration share_join_delay{from_milliseconds(1000)};
-    duration share_return_delay{from_milliseconds(2000)};
+    duration share_release_delay{from_milliseconds(2000)};
     duration lease_renewal{from_milliseconds(1500)};
     /// Lifetime of a lease that is not renewed; the share of a crashed VM is unusable until then.
     duration lease_duration{from_milliseconds(5000)};
--- a/src/core/limits/organisation_limiter.cpp
+++ b/src/core/limits/organisation_limiter.cpp
@@ -248,7 +248,7 @@
 /// When this VM's share has tokens for all waiting requests. A share that is not confirmed yet may
 /// be confirmed at any moment.
 time_point organisation_limiter::local_tokens_at(time_point now) const {
-    if (!context_.limits.waits_for_own_share) {
+    if (!context_.limits.waits_for_local_refill) {
         return no_deadline;
     }
     return uses_share() ? bucket_.time_of(now, static_cast<double>(waiting_.size())) : now;
--- a/src/core/limits/share_group.cpp
+++ b/src/core/limits/share_group.cpp
@@ -111,7 +111,7 @@
         live.push_back(&entry);
     }
     return share_holders(id_, live, context_.limits.holders_per_domain,
-                         context_.limits.most_holders);
+                         context_.limits.max_holders);
 }
 
 } // namespace jackdawvane
--- a/src/core/limits/share_ledger.cpp
+++ b/src/core/limits/share_ledger.cpp
@@ -143,7 +143,7 @@
         due = std::min(due, record_.find(context_.self) != nullptr ? join_at_ : first_join_at_);
     }
     if (drained_at_ == no_deadline && holder() && untargeted_since_ != no_deadline) {
-        due = std::min(due, untargeted_since_ + context_.settings.return_after);
+        due = std::min(due, untargeted_since_ + context_.settings.release_delay);
     }
     return std::max(due, retry_at_);
 }
@@ -261,7 +261,7 @@
         return false;
     }
     return target() || (untargeted_since_ != no_deadline &&
-                        now < untargeted_since_ + context_.settings.return_after);
+                        now < untargeted_since_ + context_.settings.release_delay);
 }
 
 bool share_ledger::waits_to_join() const noexcept {
@@ -381,7 +381,7 @@
         lease_check_at_ = now + takeover_delay();
     }
     if (!non_target_holders().empty() && non_target_notice_at_ == no_deadline) {
-        non_target_notice_at_ = now + context_.settings.return_after + takeover_delay();
+        non_target_notice_at_ = now + context_.settings.release_delay + takeover_delay();
     }
 }
 
--- a/src/core/sessions/session_proxy.cpp
+++ b/src/core/sessions/session_proxy.cpp
@@ -50,7 +50,7 @@
     rate_limiter_settings limits;
     limits.pending = settings.token_wait;
     limits.joining = settings.joining_token_wait;
-    limits.waits_for_own_share = true;
+    limits.waits_for_local_refill = true;
     limits.share_interval = settings.share_interval;
     limits.shares.join_spread = settings.share_join_jitter;
     limits.shares.settle = settings.share_settle_delay;
@@ -58,9 +58,9 @@
     limits.lease = settings.lease_duration;
     limits.lease_renewal = settings.lease_renewal;
     limits.shares.join_settle = settings.share_join_delay;
-    limits.shares.return_after = settings.share_return_delay;
+    limits.shares.release_delay = settings.share_release_delay;
     limits.holders_per_domain = settings.holders_per_domain;
-    limits.most_holders = settings.most_holders;
+    limits.max_holders = settings.max_holders;
     return limits;
 }
 
--- a/tests/core/share_ledger_test.cpp
+++ b/tests/core/share_ledger_test.cpp
@@ -290,8 +290,8 @@
     static rate_limiter_settings settings() {
         rate_limiter_settings chosen;
         chosen.holders_per_domain = 1;
-        chosen.most_holders = 3;
-        chosen.shares.return_after = seconds{2};
+        chosen.max_holders = 3;
+        chosen.shares.release_delay = seconds{2};
         chosen.joining = seconds{10};
         return chosen;
     }
@@ -410,7 +410,7 @@
     static rate_limiter_settings settings() {
         rate_limiter_settings chosen;
         chosen.holders_per_domain = 1;
-        chosen.most_holders = holders;
+        chosen.max_holders = holders;
         return chosen;
     }
     static organisation_id name(std::size_t index) {
--- a/tests/platform/entry_settings_test.cpp
+++ b/tests/platform/entry_settings_test.cpp
@@ -32,7 +32,7 @@
     }
     const auto proxy = make_proxy_settings(*settings, vm_incarnation{1}, 2);
     EXPECT_EQ(proxy.holders_per_domain, 1U);
-    EXPECT_EQ(proxy.most_holders, 3U);
+    EXPECT_EQ(proxy.max_holders, 3U);
 }
 
 struct invalid_setting {
