--- a/include/jackdawvane/sessions/ports.hpp
+++ b/include/jackdawvane/sessions/ports.hpp
@@ -81,7 +81,7 @@
                  store_answer, peer_received, peer_disconnected, stop_requested, timer_tick>;
 
 /// @brief Confirm to a caller that its session is open.
-struct greet_session {
+struct accept_session {
     session_id session;
 };
 
@@ -133,7 +133,7 @@
 
 /// @brief Any action that a session proxy requests of its host, except the common actions.
 using session_action =
-    std::variant<greet_session, answer_statement, reject_session, end_session,
+    std::variant<accept_session, answer_statement, reject_session, end_session,
                  open_server_connection, send_to_server, close_server_connection, promote_server>;
 
 /// @brief Actions that result from one event.
--- a/src/core/sessions/statement_executor.cpp
+++ b/src/core/sessions/statement_executor.cpp
@@ -73,7 +73,7 @@
         return;
     }
     sessions_[id] = std::move(session);
-    out.sessions.emplace_back(greet_session{id});
+    out.sessions.emplace_back(accept_session{id});
 }
 
 /// Checks the route and the key against the configuration that is current at this operation.
--- a/tests/core/group_leadership_test.cpp
+++ b/tests/core/group_leadership_test.cpp
@@ -19,7 +19,7 @@
   protected:
     GroupLeadership() { leadership.set_members({p, r1, r2}); }
 
-    void prove(std::int64_t milliseconds) {
+    void confirm_primary(std::int64_t milliseconds) {
         const auto now = at(milliseconds);
         leadership.on_status(now, now, p, primary_status(1, point(1, 5)));
         leadership.on_status(now, now, r1, replica_status(1, point(1, 5)));
@@ -30,7 +30,7 @@
 
 // A primary that may have been replaced must not be used for reads or writes.
 TEST_F(GroupLeadership, ProofRunsOut) {
-    prove(0);
+    confirm_primary(0);
     EXPECT_TRUE(leadership.confirmed(at(799)));
     EXPECT_FALSE(leadership.confirmed(at(800)));
 }
@@ -42,29 +42,29 @@
 }
 
 TEST_F(GroupLeadership, HeldReplicaEndsTheProof) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_status(at(100), at(100), r1, replica_status(1, point(1, 5), 2));
     EXPECT_FALSE(leadership.confirmed(at(100)));
 }
 
 TEST_F(GroupLeadership, HoldOfAllReplicasEndsTheTerm) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_hold(at(50), term{1});
     EXPECT_FALSE(leadership.confirmed(at(60)));
 }
 
 // Otherwise an abandoned promotion would leave the group without a primary permanently.
 TEST_F(GroupLeadership, FreeReplicaAfterAGivenUpHoldOpensTheTermAgain) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_hold(at(50), term{1});
-    prove(1051);
+    confirm_primary(1051);
     EXPECT_TRUE(leadership.confirmed(at(1060)));
 }
 
 // Another VM may still have a proof of the old primary and read data there that the new primary has
 // since changed.
 TEST_F(GroupLeadership, NewPrimaryWaitsForOldProofsToRunOut) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_status(at(100), at(100), r1, primary_status(2, point(1, 5)));
     leadership.on_status(at(899), at(899), r2, replica_status(2, point(1, 5)));
     EXPECT_FALSE(leadership.confirmed(at(899)));
@@ -72,7 +72,7 @@
 }
 
 TEST_F(GroupLeadership, WaitCountsFromTheHold) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_hold(at(50), term{1});
     leadership.on_status(at(700), at(700), r1, primary_status(2, point(1, 5)));
     leadership.on_status(at(840), at(840), r2, replica_status(2, point(1, 5)));
@@ -81,7 +81,7 @@
 }
 
 TEST_F(GroupLeadership, CommitInTheTermShowsThatOldProofsHaveRunOut) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_status(at(100), at(100), r1, primary_status(2, point(2, 6)));
     leadership.on_status(at(100), at(100), r2, replica_status(2, point(2, 6)));
     EXPECT_TRUE(leadership.confirmed(at(100)));
@@ -96,14 +96,14 @@
 }
 
 TEST_F(GroupLeadership, SteppedDownPrimaryIsNotUsed) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_status(at(10), at(10), p, replica_status(1, point(1, 5)));
     EXPECT_FALSE(leadership.confirmed(at(20)));
 }
 
 // A bounded read must include every commit that was acknowledged before its bound.
 TEST_F(GroupLeadership, PointSinceIsTheFirstOneAskedForAfterTheTime) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_position(at(100), p, point(1, 7));
     leadership.on_position(at(200), p, point(1, 9));
     EXPECT_EQ(leadership.point_covering(at(50)), point(1, 7));
@@ -112,7 +112,7 @@
 }
 
 TEST_F(GroupLeadership, PointsOfAReplacedPrimaryAreForgotten) {
-    prove(0);
+    confirm_primary(0);
     leadership.on_status(at(100), at(100), r1, primary_status(2, point(1, 4)));
     EXPECT_EQ(leadership.point_covering(at(0)), std::nullopt);
 }
--- a/tests/core/session_fixture.hpp
+++ b/tests/core/session_fixture.hpp
@@ -74,7 +74,7 @@
 }
 
 /// @brief Admits every request unless `state` is changed.
-class open_admission final : public admission_service {
+class admit_all final : public admission_service {
   public:
     admission admit(time_point /*now*/, session_id session, const organisation_id& /*name*/,
                     time_point /*deadline*/, actions& /*out*/) override {
@@ -100,11 +100,11 @@
         state.directory.update(at(0), at(0), 1,
                                {registration("p"), registration("r1"), registration("r2")});
         state.update_group_members();
-        prove(0);
+        confirm_primary(0);
     }
 
     /// @brief Reports statuses that confirm `p` as the primary of term 1; its log ends at @a end.
-    void prove(std::int64_t milliseconds, log_point end = point(1, 10)) {
+    void confirm_primary(std::int64_t milliseconds, log_point end = point(1, 10)) {
         auto& leadership = state.leadership(group_id{"g"});
         const auto now = at(milliseconds);
         leadership.on_status(now, now, backend_server_id{"p"}, primary_status(1, end));
@@ -117,7 +117,7 @@
             executor.on(now, session_started{session, route_name{database}, key}, out);
         });
     }
-    void say(std::int64_t milliseconds, statement next) {
+    void send_statement(std::int64_t milliseconds, statement next) {
         next.id = statement_id{"id" + std::to_string(++statements)};
         run(milliseconds, [&](time_point now) {
             executor.on(now, statement_received{session, next}, out);
@@ -188,7 +188,7 @@
 
     fleet_state state;
     id_sequence<connection_id> ids;
-    open_admission limits;
+    admit_all limits;
     backend_sessions backends;
     connection_owner owner;
     statement_forwarder forwarder;
--- a/tests/core/statement_executor_test.cpp
+++ b/tests/core/statement_executor_test.cpp
@@ -17,13 +17,13 @@
   protected:
     void SetUp() override {
         fixture.start(0);
-        ASSERT_EQ(fixture.take<greet_session>().size(), 1U);
+        ASSERT_EQ(fixture.take<accept_session>().size(), 1U);
     }
 
     /// Opens a transaction that has written; returns its connection.
     connection_id open_written_transaction() {
-        fixture.say(1, begin_one());
-        fixture.say(2, write_one());
+        fixture.send_statement(1, begin_one());
+        fixture.send_statement(2, write_one());
         fixture.accept(3);
         const auto begin = fixture.commands();
         EXPECT_EQ(begin.size(), 1U);
@@ -40,7 +40,7 @@
 };
 
 TEST_F(StatementExecutor, ReadGoesToAReplicaWithThePointOfTheStalenessBound) {
-    fixture.say(10, read_one());
+    fixture.send_statement(10, read_one());
     fixture.accept(11);
     const auto sent = fixture.commands();
     ASSERT_EQ(sent.size(), 1U);
@@ -53,7 +53,7 @@
 }
 
 TEST_F(StatementExecutor, ReadRefusedByALaggingReplicaIsSentToAnother) {
-    fixture.say(10, read_one());
+    fixture.send_statement(10, read_one());
     fixture.accept(11);
     const auto first = fixture.commands();
     fixture.reply(12, first.front().first,
@@ -75,19 +75,19 @@
         leaving.back().leaving = true;
     }
     fixture.state.directory.update(at(100), at(100), 2, leaving);
-    fixture.prove(4500);
-    fixture.say(4500, read_one());
+    fixture.confirm_primary(4500);
+    fixture.send_statement(4500, read_one());
     fixture.accept(4501);
     const auto sent = fixture.commands();
     ASSERT_EQ(sent.size(), 1U);
     fixture.reply(4502, sent.front().first, success(transaction_state::idle, point(1, 10)));
-    fixture.prove(4700);
-    fixture.say(4700, read_one());
+    fixture.confirm_primary(4700);
+    fixture.send_statement(4700, read_one());
     fixture.accept(4701);
     EXPECT_TRUE(fixture.commands().empty());
-    fixture.prove(5700);
+    fixture.confirm_primary(5700);
     fixture.tick(5700); // The read is refused at its timeout.
-    fixture.say(5710, write_one());
+    fixture.send_statement(5710, write_one());
     fixture.accept(5711);
     EXPECT_TRUE(fixture.commands().empty())
         << "a leaving primary must not get new statements either";
@@ -114,8 +114,8 @@
     list.front().leaving = true;
     fixture.state.directory.update(at(read_at), at(read_at), 2, list);
     fixture.start(read_at);
-    fixture.prove(read_at);
-    fixture.say(read_at + 10, write_one());
+    fixture.confirm_primary(read_at);
+    fixture.send_statement(read_at + 10, write_one());
     fixture.accept(read_at + 11);
     EXPECT_EQ(fixture.commands().size(), GetParam().sent ? 1U : 0U);
 }
@@ -128,12 +128,12 @@
 
 // Guards against a read that waits for its timeout on a silent server while another is idle.
 TEST_F(StatementExecutor, SilentReadIsAlsoSentElsewhere) {
-    fixture.say(10, read_one());
+    fixture.send_statement(10, read_one());
     fixture.accept(11);
     fixture.commands();
     fixture.tick(200);
     EXPECT_TRUE(fixture.commands().empty());
-    fixture.prove(300);
+    fixture.confirm_primary(300);
     fixture.tick(345);
     fixture.accept(346);
     const auto second = fixture.commands();
@@ -144,7 +144,7 @@
 
 // Without evidence of the leadership, a write could be acknowledged by a replaced primary.
 TEST_F(StatementExecutor, WriteWaitsForProofAndIsRefusedAsNotRun) {
-    fixture.say(900, write_one());
+    fixture.send_statement(900, write_one());
     EXPECT_TRUE(fixture.take<open_server_connection>().empty());
     fixture.tick(1850);
     const auto answers = fixture.answers();
@@ -157,16 +157,16 @@
 TEST_F(StatementExecutor, WriteIsNotSentToASilentPrimary) {
     fixture.state.leadership(group_id{"g"})
         .on_status(at(790), at(790), backend_server_id{"r1"}, replica_status(1, point(1, 10)));
-    fixture.say(800, write_one());
+    fixture.send_statement(800, write_one());
     EXPECT_TRUE(fixture.take<open_server_connection>().empty());
-    fixture.prove(810);
+    fixture.confirm_primary(810);
     fixture.tick(820);
     EXPECT_EQ(fixture.take<open_server_connection>().size(), 1U);
 }
 
 // Without these ages, the logs do not show the cause of a refusal.
 TEST_F(StatementExecutor, RefusalLogsTheAgeOfTheConfirmation) {
-    fixture.say(900, write_one());
+    fixture.send_statement(900, write_one());
     fixture.tick(1850);
     std::string text;
     for (const auto& each : fixture.out.common) {
@@ -178,7 +178,7 @@
 }
 
 TEST_F(StatementExecutor, WriteOnALostConnectionIsUnknownAndNotSentAgain) {
-    fixture.say(1, write_one());
+    fixture.send_statement(1, write_one());
     fixture.accept(2);
     const auto sent = fixture.commands();
     ASSERT_EQ(sent.size(), 1U);
@@ -192,7 +192,7 @@
 
 // If a connection is lost while it opens, it is not known whether a write sent on it has run.
 TEST_F(StatementExecutor, WriteIsNotSentBeforeItsConnectionIsOpen) {
-    fixture.say(1, write_one());
+    fixture.send_statement(1, write_one());
     EXPECT_TRUE(fixture.commands().empty());
     fixture.accept(2);
     EXPECT_EQ(fixture.commands().size(), 1U);
@@ -200,12 +200,12 @@
 
 // An answer that arrives after the evidence has expired may come from a replaced primary.
 TEST_F(StatementExecutor, LateWriteAnswerWaitsForProof) {
-    fixture.say(1, write_one());
+    fixture.send_statement(1, write_one());
     fixture.accept(2);
     const auto connection = fixture.commands().front().first;
     fixture.reply(850, connection, success(transaction_state::idle, point(1, 11)));
     EXPECT_TRUE(fixture.answers().empty());
-    fixture.prove(900, point(1, 11));
+    fixture.confirm_primary(900, point(1, 11));
     fixture.tick(910);
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 1U);
@@ -213,7 +213,7 @@
 }
 
 TEST_F(StatementExecutor, LateWriteAnswerOfAReplacedPrimaryIsUnknown) {
-    fixture.say(1, write_one());
+    fixture.send_statement(1, write_one());
     fixture.accept(2);
     const auto connection = fixture.commands().front().first;
     fixture.reply(850, connection, success(transaction_state::idle, point(1, 11)));
@@ -229,7 +229,7 @@
 TEST_F(StatementExecutor, StatementAfterTheLossOfItsTransactionIsAborted) {
     const auto connection = open_written_transaction();
     fixture.lose(10, connection);
-    fixture.say(20, read_one());
+    fixture.send_statement(20, read_one());
     EXPECT_TRUE(fixture.commands().empty());
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 1U);
@@ -240,7 +240,7 @@
 TEST_F(StatementExecutor, CommitThatWasNotSentIsAborted) {
     const auto connection = open_written_transaction();
     fixture.lose(10, connection);
-    fixture.say(20, commit_one());
+    fixture.send_statement(20, commit_one());
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers.front().problem, statement_error::aborted);
@@ -249,7 +249,7 @@
 
 TEST_F(StatementExecutor, CommitWithoutAnAnswerIsUnknown) {
     const auto connection = open_written_transaction();
-    fixture.say(20, commit_one());
+    fixture.send_statement(20, commit_one());
     ASSERT_EQ(fixture.commands().size(), 1U);
     fixture.lose(21, connection);
     const auto answers = fixture.answers();
@@ -259,8 +259,8 @@
 
 // When BEGIN fails, the statement after it would run outside of a transaction.
 TEST_F(StatementExecutor, StatementIsNotSentWhenItsTransactionDoesNotOpen) {
-    fixture.say(1, begin_one());
-    fixture.say(2, write_one());
+    fixture.send_statement(1, begin_one());
+    fixture.send_statement(2, write_one());
     fixture.accept(3);
     const auto connection = fixture.commands().front().first;
     fixture.reply(4, connection, failure(statement_error::read_only, transaction_state::idle));
@@ -271,10 +271,10 @@
 
 TEST_F(StatementExecutor, CommitOfAFailedTransactionIsNoSuccess) {
     const auto connection = open_written_transaction();
-    fixture.say(10, read_one());
+    fixture.send_statement(10, read_one());
     fixture.commands();
     fixture.reply(11, connection, failure(statement_error::failed, transaction_state::failed));
-    fixture.say(12, commit_one());
+    fixture.send_statement(12, commit_one());
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 2U);
     EXPECT_EQ(answers.back().problem, statement_error::aborted);
@@ -293,8 +293,8 @@
     auto set = make_statement(statement_kind::set, "SET v 1");
     set.name = "v";
     set.value = "1";
-    fixture.say(1, set);
-    fixture.say(2, read_one());
+    fixture.send_statement(1, set);
+    fixture.send_statement(2, read_one());
     fixture.accept(3);
     const auto sent = fixture.commands();
     ASSERT_EQ(sent.size(), 2U);
@@ -306,7 +306,7 @@
     auto newer = session_configuration();
     newer->keys.clear();
     fixture.state.configuration = newer;
-    fixture.say(10, read_one());
+    fixture.send_statement(10, read_one());
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers.front().problem, statement_error::unauthorised);
@@ -314,7 +314,7 @@
 
 TEST_F(StatementExecutor, OperationOverTheRateIsRefusedAsNotRun) {
     fixture.limits.state = admission_state::refused;
-    fixture.say(10, read_one());
+    fixture.send_statement(10, read_one());
     const auto answers = fixture.answers();
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers.front().problem, statement_error::busy);
@@ -353,7 +353,7 @@
     EXPECT_TRUE(fixture.take<reject_session>().empty());
     fixture.state.configuration = session_configuration();
     fixture.tick(100);
-    EXPECT_EQ(fixture.take<greet_session>().size(), 1U);
+    EXPECT_EQ(fixture.take<accept_session>().size(), 1U);
 }
 
 TEST(StatementExecutorStart, SessionIsRefusedBeforeTheCallerGivesUp) {
