--- a/include/jackdawvane/adapters/process_identity.hpp
+++ b/include/jackdawvane/adapters/process_identity.hpp
@@ -8,7 +8,7 @@
 
 /// @brief Incarnation of a process that starts now: milliseconds since the epoch, so that a
 /// restart of the same VM gets a higher one.
-[[nodiscard]] vm_incarnation present_incarnation();
+[[nodiscard]] vm_incarnation current_incarnation();
 
 /// @brief Seed from the random number source of the operating system.
 [[nodiscard]] std::uint64_t random_seed();
--- a/include/jackdawvane/adapters/proxy_host.hpp
+++ b/include/jackdawvane/adapters/proxy_host.hpp
@@ -35,7 +35,7 @@
 /// @brief Ports of a proxy host.
 struct proxy_port_set {
     session_port& sessions;
-    member_port& servers;
+    server_port& servers;
     promotion_port& promotions;
     store_port& store;
     peer_port& peers;
--- a/include/jackdawvane/adapters/session_codec.hpp
+++ b/include/jackdawvane/adapters/session_codec.hpp
@@ -10,21 +10,21 @@
 namespace jackdawvane {
 
 /// @brief First line of a caller's session.
-struct caller_start {
+struct startup_message {
     route_name database;
     std::string key;
 };
 
 /// @brief A caller ends its session.
-struct caller_end {};
+struct terminate_message {};
 
 /// @brief A line that cannot be parsed.
-struct unreadable_line {
+struct malformed_line {
     std::string reason;
 };
 
 /// @brief Parsed line of a caller.
-using caller_line = std::variant<caller_start, statement, caller_end, unreadable_line>;
+using caller_line = std::variant<startup_message, statement, terminate_message, malformed_line>;
 
 /// @brief One row of an answer.
 struct answer_row {
@@ -37,7 +37,7 @@
 };
 
 /// @brief A statement or the start of a session failed.
-struct answer_problem {
+struct answer_error {
     statement_error problem{statement_error::none};
     std::string detail;
 };
@@ -50,7 +50,7 @@
 
 /// @brief Parsed line of a backend server.
 using backend_line =
-    std::variant<answer_row, answer_completed, answer_problem, answer_ready, unreadable_line>;
+    std::variant<answer_row, answer_completed, answer_error, answer_ready, malformed_line>;
 
 /// @brief Encodes and decodes the messages of SQL sessions as text, one line per message.
 class session_codec {
@@ -67,10 +67,10 @@
     /// @brief Status of a backend server in @a row; nothing when the row contains none.
     [[nodiscard]] virtual std::optional<server_status> read_status(std::string_view row) const = 0;
 
-    virtual void write_greeting(std::string& out) const = 0;
+    virtual void write_session_accepted(std::string& out) const = 0;
     virtual void write_reply(const statement_reply& reply, std::string& out) const = 0;
-    virtual void write_problem(statement_error problem, std::string_view detail,
-                               std::string& out) const = 0;
+    virtual void write_error(statement_error problem, std::string_view detail,
+                             std::string& out) const = 0;
     virtual void write_start(const open_server_connection& start, std::string& out) const = 0;
     virtual void write_command(const backend_command& command, std::string& out) const = 0;
 };
--- a/include/jackdawvane/adapters/session_ports.hpp
+++ b/include/jackdawvane/adapters/session_ports.hpp
@@ -47,22 +47,22 @@
 };
 
 /// @brief Settings of the connections to backend servers.
-struct member_port_settings {
+struct server_port_settings {
     std::string local_address;                        ///< Source IP address; empty for any.
     std::size_t line_limit{std::size_t{1024} * 1024}; ///< Bytes.
 };
 
 /// @brief Connections to backend servers, for SQL sessions.
-class member_port {
+class server_port {
   public:
     /// @param codec outlives this object
-    member_port(boost::asio::io_context& context, member_port_settings settings,
+    server_port(boost::asio::io_context& context, server_port_settings settings,
                 const session_codec& codec, proxy_event_sink sink);
-    member_port(const member_port&) = delete;
-    member_port& operator=(const member_port&) = delete;
-    member_port(member_port&&) = delete;
-    member_port& operator=(member_port&&) = delete;
-    ~member_port();
+    server_port(const server_port&) = delete;
+    server_port& operator=(const server_port&) = delete;
+    server_port(server_port&&) = delete;
+    server_port& operator=(server_port&&) = delete;
+    ~server_port();
 
     void open(const open_server_connection& start);
     void send(const send_to_server& commands);
--- a/src/adapters/process_identity.cpp
+++ b/src/adapters/process_identity.cpp
@@ -5,7 +5,7 @@
 
 namespace jackdawvane {
 
-vm_incarnation present_incarnation() {
+vm_incarnation current_incarnation() {
     const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
     const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch);
     return vm_incarnation{static_cast<std::uint64_t>(milliseconds.count())};
--- a/src/adapters/member_port.cpp
+++ b/src/adapters/server_port.cpp
@@ -8,9 +8,9 @@
 
 namespace jackdawvane {
 
-class member_port::implementation : public std::enable_shared_from_this<implementation> {
+class server_port::implementation : public std::enable_shared_from_this<implementation> {
   public:
-    implementation(boost::asio::io_context& context, member_port_settings settings,
+    implementation(boost::asio::io_context& context, server_port_settings settings,
                    const session_codec& codec, proxy_event_sink sink)
         : context_{context}, settings_{std::move(settings)}, codec_{codec}, sink_{std::move(sink)} {
     }
@@ -25,7 +25,7 @@
     struct server_state {
         std::shared_ptr<detail::line_stream> stream;
         bool started{false};
-        std::optional<answer_problem> start_problem;
+        std::optional<answer_error> start_problem;
         statement_reply reply; ///< Lines of the current answer.
         std::optional<server_status> status;
     };
@@ -35,13 +35,13 @@
     void on_stream_end(connection_id id, detail::stream_end reason);
 
     boost::asio::io_context& context_;
-    member_port_settings settings_;
+    server_port_settings settings_;
     const session_codec& codec_;
     proxy_event_sink sink_;
     std::unordered_map<connection_id, server_state> servers_;
 };
 
-void member_port::implementation::open(const open_server_connection& start) {
+void server_port::implementation::open(const open_server_connection& start) {
     auto stream = std::make_shared<detail::line_stream>(context_, settings_.line_limit);
     const std::weak_ptr<implementation> weak = weak_from_this();
     const auto id = start.connection;
@@ -62,7 +62,7 @@
     stream->connect(start.endpoint, settings_.local_address);
 }
 
-void member_port::implementation::send(const send_to_server& commands) {
+void server_port::implementation::send(const send_to_server& commands) {
     const auto found = servers_.find(commands.connection);
     if (found == servers_.end()) {
         return;
@@ -74,7 +74,7 @@
     found->second.stream->write(text);
 }
 
-void member_port::implementation::handle_line(connection_id id, std::string_view line) {
+void server_port::implementation::handle_line(connection_id id, std::string_view line) {
     const auto found = servers_.find(id);
     if (found == servers_.end()) {
         return;
@@ -88,7 +88,7 @@
         server.reply.rows.push_back(std::move(row->text));
     } else if (auto* completed = std::get_if<answer_completed>(&message)) {
         server.reply.signature = std::move(completed->signature);
-    } else if (auto* problem = std::get_if<answer_problem>(&message)) {
+    } else if (auto* problem = std::get_if<answer_error>(&message)) {
         if (!server.started) {
             server.start_problem = std::move(*problem);
             server.stream->close();
@@ -105,7 +105,7 @@
     }
 }
 
-void member_port::implementation::handle_ready(connection_id id, server_state& server,
+void server_port::implementation::handle_ready(connection_id id, server_state& server,
                                                const answer_ready& ready) {
     if (!server.started) {
         server.started = true;
@@ -118,7 +118,7 @@
     sink_(server_replied{id, std::move(reply), std::exchange(server.status, {})});
 }
 
-void member_port::implementation::on_stream_end(connection_id id, detail::stream_end reason) {
+void server_port::implementation::on_stream_end(connection_id id, detail::stream_end reason) {
     const auto found = servers_.find(id);
     if (found == servers_.end()) {
         return;
@@ -134,7 +134,7 @@
     sink_(closed);
 }
 
-void member_port::implementation::close(connection_id connection) {
+void server_port::implementation::close(connection_id connection) {
     const auto found = servers_.find(connection);
     if (found != servers_.end()) {
         const auto stream = found->second.stream;
@@ -143,35 +143,35 @@
     }
 }
 
-void member_port::implementation::stop() {
+void server_port::implementation::stop() {
     for (const auto& [id, server] : servers_) {
         server.stream->close();
     }
     servers_.clear();
 }
 
-member_port::member_port(boost::asio::io_context& context, member_port_settings settings,
+server_port::server_port(boost::asio::io_context& context, server_port_settings settings,
                          const session_codec& codec, proxy_event_sink sink)
     : implementation_{
           std::make_shared<implementation>(context, std::move(settings), codec, std::move(sink))} {}
 
-member_port::~member_port() {
+server_port::~server_port() {
     implementation_->stop();
 }
 
-void member_port::open(const open_server_connection& start) {
+void server_port::open(const open_server_connection& start) {
     implementation_->open(start);
 }
 
-void member_port::send(const send_to_server& commands) {
+void server_port::send(const send_to_server& commands) {
     implementation_->send(commands);
 }
 
-void member_port::close(connection_id connection) {
+void server_port::close(connection_id connection) {
     implementation_->close(connection);
 }
 
-std::size_t member_port::connections() const noexcept {
+std::size_t server_port::connections() const noexcept {
     return implementation_->connections();
 }
 
--- a/src/adapters/session_port.cpp
+++ b/src/adapters/session_port.cpp
@@ -87,11 +87,11 @@
 
 void session_port::implementation::handle_line(session_id session, std::string_view line) {
     auto message = codec_.read_caller(line);
-    if (auto* start = std::get_if<caller_start>(&message)) {
+    if (auto* start = std::get_if<startup_message>(&message)) {
         sink_(session_started{session, std::move(start->database), std::move(start->key)});
     } else if (auto* next = std::get_if<statement>(&message)) {
         sink_(statement_received{session, std::move(*next)});
-    } else if (const auto* problem = std::get_if<unreadable_line>(&message)) {
+    } else if (const auto* problem = std::get_if<malformed_line>(&message)) {
         sink_(session_broken{session, problem->reason});
     } else {
         drop(session);
@@ -152,7 +152,7 @@
 
 void session_port::accept(session_id session) {
     std::string text;
-    implementation_->codec().write_greeting(text);
+    implementation_->codec().write_session_accepted(text);
     implementation_->write(session, text, false);
 }
 
@@ -164,7 +164,7 @@
 
 void session_port::reject(session_id session, statement_error problem, const std::string& detail) {
     std::string text;
-    implementation_->codec().write_problem(problem, detail, text);
+    implementation_->codec().write_error(problem, detail, text);
     implementation_->write(session, text, true);
 }
 
--- a/src/programs/jackdawvaned/daemon.cpp
+++ b/src/programs/jackdawvaned/daemon.cpp
@@ -83,7 +83,7 @@
     }
 
     boost::asio::io_context& context;
-    vm_incarnation incarnation{present_incarnation()};
+    vm_incarnation incarnation{current_incarnation()};
     diagnostics observed;
     http_server server;
     peer_port_adapter peers;
--- a/tests/platform/line_codec_test.cpp
+++ b/tests/platform/line_codec_test.cpp
@@ -52,8 +52,7 @@
 // server.
 TEST(LineCodec, ControlCharactersAndUnknownKindsAreUnreadable) {
     for (const auto* line : {"QUERY 1 READ a\rQUERY 2 WRITE b", "HELLO", ""}) {
-        EXPECT_TRUE(std::holds_alternative<unreadable_line>(line_codec{}.read_caller(line)))
-            << line;
+        EXPECT_TRUE(std::holds_alternative<malformed_line>(line_codec{}.read_caller(line))) << line;
     }
 }
 
@@ -61,13 +60,13 @@
     const line_codec codec;
     EXPECT_EQ(std::get<answer_row>(codec.read_backend("ROW a b")).text, "a b");
     EXPECT_EQ(std::get<answer_completed>(codec.read_backend("COMPLETE s.1")).signature, "s.1");
-    EXPECT_EQ(std::get<answer_problem>(codec.read_backend("ERROR LAGGING x")).problem,
+    EXPECT_EQ(std::get<answer_error>(codec.read_backend("ERROR LAGGING x")).problem,
               statement_error::lagging);
     const auto ready = std::get<answer_ready>(codec.read_backend("READY T 3.12"));
     EXPECT_EQ(ready.state, transaction_state::open);
     EXPECT_EQ(ready.position, (log_point{term{3}, log_position{12}}));
     EXPECT_EQ(std::get<answer_ready>(codec.read_backend("READY I -")).position, std::nullopt);
-    EXPECT_TRUE(std::holds_alternative<unreadable_line>(codec.read_backend("READY X -")));
+    EXPECT_TRUE(std::holds_alternative<malformed_line>(codec.read_backend("READY X -")));
 }
 
 TEST(LineCodec, ReadsAStatusRow) {
--- a/tests/platform/session_ports_test.cpp
+++ b/tests/platform/session_ports_test.cpp
@@ -37,7 +37,7 @@
 };
 
 TEST_F(SessionPorts, ServerAnswersAreCollectedUntilReady) {
-    member_port server_connections{context, {}, codec, sink()};
+    server_port server_connections{context, {}, codec, sink()};
     open_server_connection start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", acceptor.local_endpoint().port()};
@@ -68,7 +68,7 @@
 // A write whose connection the proxy has closed must not be executed when a network partition heals
 // later.
 TEST_F(SessionPorts, ClosedServerConnectionIsReset) {
-    member_port server_connections{context, {}, codec, sink()};
+    server_port server_connections{context, {}, codec, sink()};
     open_server_connection start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", acceptor.local_endpoint().port()};
@@ -87,7 +87,7 @@
 TEST_F(SessionPorts, RefusedConnectionIsReportedAsRefused) {
     const auto port = acceptor.local_endpoint().port();
     acceptor.close();
-    member_port server_connections{context, {}, codec, sink()};
+    server_port server_connections{context, {}, codec, sink()};
     open_server_connection start;
     start.connection = connection_id{1};
     start.endpoint = {"127.0.0.1", port};
