--- a/include/jackdawvane/adapters/caller_api.hpp
+++ b/include/jackdawvane/adapters/caller_api.hpp
@@ -25,7 +25,7 @@
 /// @brief HTTP API for callers and operators: turns requests into events, answers into responses.
 class caller_api final : public caller_port {
   public:
-    /// @param sink receives `caller_request` and `caller_gone`
+    /// @param sink receives `caller_request` and `caller_disconnected`
     /// @param node asked for readiness and status; has to outlive this object
     /// @param metrics returns the text served at `/metrics`
     caller_api(event_sink sink, const node_interface& node, std::function<std::string()> metrics);
--- a/include/jackdawvane/adapters/decision_logger.hpp
+++ b/include/jackdawvane/adapters/decision_logger.hpp
@@ -58,10 +58,10 @@
     /// The first lines of each kind (part and outcome) in a second are always written, so that
     /// frequent lines don't displace rare ones. Lines that are left out are counted by kind, and
     /// the counts are written before the first line of a later second.
-    void write(const log_decision& line);
+    void write(const log_record& line);
 
   private:
-    [[nodiscard]] bool within_limit(const log_decision& line);
+    [[nodiscard]] bool within_limit(const log_record& line);
     void report_left_out();
 
     struct backend;
--- a/include/jackdawvane/adapters/diagnostics.hpp
+++ b/include/jackdawvane/adapters/diagnostics.hpp
@@ -21,7 +21,7 @@
   public:
     explicit diagnostics(const log_settings& settings) : logger_{settings} {}
 
-    void log(const log_decision& line) override { logger_.write(line); }
+    void log(const log_record& line) override { logger_.write(line); }
     void measure(const measurement& value) override { metrics_.record(value); }
 
     void report(const connection_counts& counts);
--- a/include/jackdawvane/backends/backend_call.hpp
+++ b/include/jackdawvane/backends/backend_call.hpp
@@ -10,7 +10,7 @@
 namespace jackdawvane {
 
 /// @brief Id sequences shared by all components of a node.
-struct node_ids {
+struct node_id_sequences {
     id_sequence<connection_id>& connections;
     id_sequence<request_id>& requests;
 };
@@ -23,7 +23,7 @@
   public:
     enum class progress { idle, running, answered, failed };
 
-    backend_call(backend_server_id backend, jackdawvane::endpoint endpoint, node_ids ids);
+    backend_call(backend_server_id backend, jackdawvane::endpoint endpoint, node_id_sequences ids);
 
     /// @brief Sends @a request once the connection is open; opens it first if needed.
     /// @param limit time for connecting and the answer together
@@ -58,7 +58,7 @@
 
     backend_server_id backend_;
     jackdawvane::endpoint endpoint_;
-    node_ids ids_;
+    node_id_sequences ids_;
     progress state_{progress::idle};
     link link_{link::closed};
     connection_id connection_;
--- a/include/jackdawvane/backends/owned_backends.hpp
+++ b/include/jackdawvane/backends/owned_backends.hpp
@@ -28,7 +28,7 @@
 /// @brief Runs the backend servers that this VM owns, and knows the owners of the others.
 class owned_backends {
   public:
-    owned_backends(owned_backends_settings settings, random_engine& random, node_ids ids);
+    owned_backends(owned_backends_settings settings, random_engine& random, node_id_sequences ids);
 
     /// @brief Takes over, keeps or releases backend servers after a change of the
     /// configuration or of the fleet.
@@ -90,7 +90,7 @@
 
     owned_backends_settings settings_;
     random_engine& random_;
-    node_ids ids_;
+    node_id_sequences ids_;
     std::map<backend_server_id, vm_entry> owners_;
     std::map<backend_server_id, owned> owned_;
     std::vector<owned> retired_; ///< Released, with work still in progress.
--- a/include/jackdawvane/failover/group_monitor.hpp
+++ b/include/jackdawvane/failover/group_monitor.hpp
@@ -49,7 +49,7 @@
 class group_monitor {
   public:
     group_monitor(monitored_backend watched, group_monitor_settings settings, random_engine& random,
-                  node_ids ids);
+                  node_id_sequences ids);
 
     /// @brief Sets the backend servers of the group and the VMs that own them, this one included.
     void configure(const group_row& group, const std::map<backend_server_id, vm_entry>& owners);
@@ -126,7 +126,7 @@
     monitored_backend watched_;
     group_monitor_settings settings_;
     random_engine& random_;
-    node_ids ids_;
+    node_id_sequences ids_;
     group_row group_;
     group_view view_;
     report_exchange exchange_;
--- a/include/jackdawvane/failover/promotion.hpp
+++ b/include/jackdawvane/failover/promotion.hpp
@@ -53,8 +53,8 @@
 
     /// @param servers backend servers to ask; of equal logs the first listed wins. Leaving some
     ///        of the group out is safe, because a majority of the whole group has to accept.
-    promotion(promotion_proposal proposal, std::vector<promotion_server> servers, node_ids ids,
-              promotion_limits limits = {});
+    promotion(promotion_proposal proposal, std::vector<promotion_server> servers,
+              node_id_sequences ids, promotion_limits limits = {});
 
     void start(time_point now, actions& out);
     /// @return whether the connection belongs to this promotion
@@ -100,7 +100,7 @@
     [[nodiscard]] bool asked_to_promote() const noexcept { return !chosen_.empty(); }
 
     promotion_proposal proposal_;
-    node_ids ids_;
+    node_id_sequences ids_;
     promotion_limits limits_;
     std::vector<participant> servers_;
     progress state_{progress::running};
--- a/include/jackdawvane/membership/membership.hpp
+++ b/include/jackdawvane/membership/membership.hpp
@@ -67,7 +67,7 @@
     bool on_store(time_point now, const store_answer& answer, actions& out);
 
     /// @brief Records that the store answered a request of any component of this VM.
-    void on_store_heard(time_point now);
+    void on_store_answered(time_point now);
 
     /// @brief Probes @a vm at once because the connection to it was lost.
     void on_disconnected(time_point now, const vm_id& vm, actions& out);
--- a/include/jackdawvane/node/action_dispatcher.hpp
+++ b/include/jackdawvane/node/action_dispatcher.hpp
@@ -14,7 +14,7 @@
     diagnostics_port& operator=(diagnostics_port&&) = delete;
     virtual ~diagnostics_port() = default;
 
-    virtual void log(const log_decision& line) = 0;
+    virtual void log(const log_record& line) = 0;
     virtual void measure(const measurement& value) = 0;
 };
 
--- a/include/jackdawvane/node/ports.hpp
+++ b/include/jackdawvane/node/ports.hpp
@@ -18,7 +18,7 @@
 namespace jackdawvane {
 
 /// @brief A caller stopped waiting, or its connection closed, before the answer.
-struct caller_gone {
+struct caller_disconnected {
     caller_id caller;
 };
 
@@ -58,9 +58,9 @@
 struct timer_tick {};
 
 /// @brief Any event that a host reports to a node.
-using event = std::variant<caller_request, caller_gone, backend_connected, backend_disconnected,
-                           backend_answered, store_answer, peer_received, peer_disconnected,
-                           stop_requested, timer_tick>;
+using event = std::variant<caller_request, caller_disconnected, backend_connected,
+                           backend_disconnected, backend_answered, store_answer, peer_received,
+                           peer_disconnected, stop_requested, timer_tick>;
 
 /// @brief Open a connection to a backend server.
 struct open_connection {
@@ -98,7 +98,7 @@
 enum class log_level { debug, info, warning, error };
 
 /// @brief One line of the log.
-struct log_decision {
+struct log_record {
     const char* part{""}; ///< Fixed prefix, for example `router`; static storage.
     log_level level{log_level::info};
     std::string text;
@@ -121,14 +121,14 @@
 
 /// @brief Any action that a node requests from its host.
 using action = std::variant<caller_answer, open_connection, send_to_backend, close_connection,
-                            store_request, send_to_peer, log_decision, measurement, stopped>;
+                            store_request, send_to_peer, log_record, measurement, stopped>;
 
 /// @brief Actions in the order in which the host has to execute them.
 using actions = std::vector<action>;
 
 /// @brief Appends a log line to @a out.
 inline void log(actions& out, const char* part, log_level level, std::string text) {
-    out.emplace_back(log_decision{part, level, std::move(text)});
+    out.emplace_back(log_record{part, level, std::move(text)});
 }
 
 /// @brief Appends an increment of a counter to @a out.
--- a/include/jackdawvane/routing/request_executor.hpp
+++ b/include/jackdawvane/routing/request_executor.hpp
@@ -54,7 +54,7 @@
                                                               const routing_query& query) = 0;
     /// @brief Records that a backend server could not serve a read, so that others are preferred.
     virtual void avoid(time_point now, const backend_server_id& backend,
-                       routing_trouble failure) = 0;
+                       routing_failure failure) = 0;
     /// @brief Group of a pool that holds @a partition.
     [[nodiscard]] virtual group_id choose_group(const pool_row& pool,
                                                 const std::string& partition) const = 0;
@@ -90,7 +90,7 @@
     /// disconnects.
     void on_caller(time_point now, caller_request request, actions& out);
     /// @brief Drops the request of a caller that no longer waits. A forwarded write may still run.
-    void on_caller_gone(caller_id caller);
+    void on_caller_disconnected(caller_id caller);
     /// @brief Handles the final verdict on a request whose admission was pending.
     void on_admission(time_point now, caller_id caller, const admission& verdict, actions& out);
     /// @brief Handles an owner's answer.
--- a/include/jackdawvane/routing/router.hpp
+++ b/include/jackdawvane/routing/router.hpp
@@ -28,7 +28,7 @@
 };
 
 /// @brief Why a backend server could not serve a request.
-enum class routing_trouble {
+enum class routing_failure {
     behind,      ///< It has not reached the session's position; it may serve other sessions.
     unreachable, ///< It or its owner did not answer.
 };
@@ -63,7 +63,7 @@
     /// An unreachable backend server is tried last for `unreachable_memory`. A replica that was
     /// behind is tried after the other replicas but before the primary, so that one session with a
     /// recent position does not move the reads of all other sessions to the primary.
-    void avoid(const backend_server_id& backend, routing_trouble failure, time_point now);
+    void avoid(const backend_server_id& backend, routing_failure failure, time_point now);
 
     /// @brief Records that @a backend served a request, and stops avoiding it.
     void served(const backend_server_id& backend);
@@ -75,10 +75,10 @@
                                             const routing_request& request, const load_hint& load,
                                             time_point now) const;
     struct failure_record {
-        routing_trouble failure{routing_trouble::behind};
+        routing_failure failure{routing_failure::behind};
         time_point until;
     };
-    [[nodiscard]] bool is_avoided(const backend_server_id& backend, routing_trouble failure,
+    [[nodiscard]] bool is_avoided(const backend_server_id& backend, routing_failure failure,
                                   time_point now) const;
 
     location self_;
--- a/src/adapters/caller_api.cpp
+++ b/src/adapters/caller_api.cpp
@@ -140,7 +140,7 @@
     waiting_.emplace(id, responder);
     responder.on_closed([this, id] {
         waiting_.erase(id);
-        sink_(caller_gone{id});
+        sink_(caller_disconnected{id});
     });
     read.value().caller = id;
     sink_(std::move(read).value());
--- a/src/adapters/decision_logger.cpp
+++ b/src/adapters/decision_logger.cpp
@@ -31,7 +31,7 @@
 };
 
 /// Part and outcome of a line. A first word with digits names a subject, not an outcome.
-std::string kind_of(const log_decision& line) {
+std::string kind_of(const log_record& line) {
     const auto word = line.text.substr(0, line.text.find(' '));
     const bool outcome = std::all_of(word.begin(), word.end(), [](unsigned char each) {
         return std::isalpha(each) != 0 || each == '_';
@@ -89,7 +89,7 @@
     backend_->logger.removeAllAppenders();
 }
 
-void decision_logger::write(const log_decision& line) {
+void decision_logger::write(const log_record& line) {
     const auto level = to_log4cplus(line.level);
     if (!backend_->logger.isEnabledFor(level)) {
         return;
@@ -110,7 +110,7 @@
     backend_->logger.forcedLog(level, text);
 }
 
-bool decision_logger::within_limit(const log_decision& line) {
+bool decision_logger::within_limit(const log_record& line) {
     auto& kinds = backend_->kinds;
     auto kind = kind_of(line);
     if (kinds.size() >= max_kinds && !kinds.contains(kind)) {
--- a/src/adapters/proxy_host.cpp
+++ b/src/adapters/proxy_host.cpp
@@ -41,7 +41,7 @@
 
     void operator()(const store_request& value) const { ports.store.call(value); }
     void operator()(const send_to_peer& value) const { ports.peers.send(value); }
-    void operator()(const log_decision& value) const { ports.diagnostics.log(value); }
+    void operator()(const log_record& value) const { ports.diagnostics.log(value); }
     void operator()(const measurement& value) const { ports.diagnostics.measure(value); }
     void operator()(const stopped& /*value*/) const { stopped_flag = true; }
     template <class Other>
--- a/src/core/backends/backend_call.cpp
+++ b/src/core/backends/backend_call.cpp
@@ -4,7 +4,8 @@
 
 namespace jackdawvane {
 
-backend_call::backend_call(backend_server_id backend, jackdawvane::endpoint endpoint, node_ids ids)
+backend_call::backend_call(backend_server_id backend, jackdawvane::endpoint endpoint,
+                           node_id_sequences ids)
     : backend_{std::move(backend)}, endpoint_{std::move(endpoint)}, ids_{ids} {}
 
 void backend_call::send(time_point now, backend_request request, duration limit, actions& out) {
--- a/src/core/backends/owned_backends.cpp
+++ b/src/core/backends/owned_backends.cpp
@@ -10,7 +10,7 @@
 namespace jackdawvane {
 
 owned_backends::owned_backends(owned_backends_settings settings, random_engine& random,
-                               node_ids ids)
+                               node_id_sequences ids)
     : settings_{std::move(settings)}, random_{random}, ids_{ids} {
     settings_.owner.self = settings_.self;
     settings_.owner.incarnation = settings_.incarnation;
--- a/src/core/configuration/configuration_editor.cpp
+++ b/src/core/configuration/configuration_editor.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* log_part = "config";
+constexpr const char* log_component = "config";
 
 error store_unavailable_error(const std::string& detail) {
     return {error_kind::store_unavailable, detail, {}};
@@ -166,7 +166,7 @@
     }
     if (answer.status == store_status::unavailable) {
         lost_write_version_ = version_;
-        log(out, log_part, log_level::warning,
+        log(out, log_component, log_level::warning,
             "edit " + edit_.id.str() + ": no answer to the write; reading the document again");
         retry(now);
         return;
@@ -236,7 +236,7 @@
     if (state == edit_state::accepted) {
         line += " as revision " + std::to_string(at.value());
     }
-    log(out, log_part, log_level::info, std::move(line));
+    log(out, log_component, log_level::info, std::move(line));
 }
 
 time_point configuration_editor::next_deadline() const {
--- a/src/core/configuration/configuration_replica.cpp
+++ b/src/core/configuration/configuration_replica.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr const char* log_part = "config";
+constexpr const char* log_component = "config";
 
 /// Task name that selects the delegates of a failure domain for the configuration.
 constexpr const char* delegate_task = "configuration";
@@ -123,7 +123,7 @@
 void configuration_replica::adopt_stored(time_point now, const store_answer& answer, actions& out) {
     auto parsed = parse_document(answer.value);
     if (!parsed) {
-        log(out, log_part, log_level::error,
+        log(out, log_component, log_level::error,
             "the document in the store cannot be decoded: " + parsed.error().detail);
         watch_failed(now);
         return;
@@ -139,7 +139,7 @@
         return false;
     }
     document_ = std::make_shared<const configuration_document>(std::move(document));
-    log(out, log_part, log_level::info,
+    log(out, log_component, log_level::info,
         "revision " + std::to_string(present().value()) + " in force, from " +
             (source.empty() ? "the store" : source.str()));
     if (is_delegate_) {
@@ -289,7 +289,7 @@
         }
         auto next = apply(changed, edit);
         if (!next) {
-            log(out, log_part, log_level::warning,
+            log(out, log_component, log_level::warning,
                 "edits from " + source.str() + " cannot be applied: " + next.error().detail);
             pull_entire_document_ = true;
             tried_sources_.erase(source);
--- a/src/core/failover/group_monitor.cpp
+++ b/src/core/failover/group_monitor.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr const char* log_part = "failover";
+constexpr const char* log_component = "failover";
 
 using call_state = backend_call::progress;
 
@@ -36,7 +36,7 @@
 } // namespace
 
 group_monitor::group_monitor(monitored_backend watched, group_monitor_settings settings,
-                             random_engine& random, node_ids ids)
+                             random_engine& random, node_id_sequences ids)
     : watched_{std::move(watched)}, settings_{settings}, random_{random}, ids_{ids},
       view_{watched_.group}, exchange_{watched_.group, watched_.backend, watched_.place,
                                        settings.reports} {}
@@ -208,7 +208,7 @@
         send_poll(now, out);
         return;
     }
-    log(out, log_part, log_level::info,
+    log(out, log_component, log_level::info,
         watched_.backend.str() + " status poll failed: " + poll_->reason() +
             "; probing on a new connection");
     poll_.reset();
@@ -322,7 +322,7 @@
     follow_.emplace(call_to(watched_.backend));
     follow_->send(now, std::move(request),
                   settings_.answer_limit + network_allowance(watched_.backend), out);
-    log(out, log_part, log_level::info,
+    log(out, log_component, log_level::info,
         watched_.backend.str() + " is asked to follow " + view_.primary().str() + " in term " +
             text_of(view_.known_term()));
 }
@@ -336,7 +336,7 @@
         start_promotion(now, next.reason, out);
         return;
     }
-    log(out, log_part, log_level::info,
+    log(out, log_component, log_level::info,
         "group " + watched_.group.str() + ": " + next.reason + "; probing " +
             view_.primary().str());
     primary_probe_.emplace(call_to(view_.primary()));
@@ -353,7 +353,7 @@
     // The random part distinguishes two incarnations of one VM.
     const vm_id candidate{watched_.self.str() + "/" + watched_.backend.str() + "/" +
                           std::to_string(random_())};
-    log(out, log_part, log_level::warning,
+    log(out, log_component, log_level::warning,
         "group " + watched_.group.str() + ": " + reason + "; starting a promotion for term " +
             text_of(last_proposed_) + " or later");
     promotion_.emplace(promotion_proposal{watched_.group, last_proposed_,
@@ -388,7 +388,7 @@
 void group_monitor::mark_unreachable(time_point now, const std::string& reason, actions& out) {
     if (view_.observe(now, {watched_.backend, false, {}, duration{0}}, std::nullopt)) {
         exchange_.mark_urgent();
-        log(out, log_part, log_level::warning,
+        log(out, log_component, log_level::warning,
             watched_.backend.str() + " is unreachable: " + reason);
     }
     if (own_primary() && !own_primary_lost_at_) {
@@ -424,7 +424,7 @@
     last_progress_at_ = now;
     exchange_.reset_awaited_positions();
     exchange_.mark_urgent();
-    log(out, log_part, log_level::info,
+    log(out, log_component, log_level::info,
         "group " + watched_.group.str() + ": " + view_.primary().str() +
             " is the primary of term " + text_of(tracked_term_));
 }
--- a/src/core/failover/promotion.cpp
+++ b/src/core/failover/promotion.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr const char* log_part = "failover";
+constexpr const char* log_component = "failover";
 
 auto log_order(const backend_status& status) noexcept {
     return std::tuple{status.last_entry_term, status.position};
@@ -20,7 +20,7 @@
 } // namespace
 
 promotion::promotion(promotion_proposal proposal, std::vector<promotion_server> servers,
-                     node_ids ids, promotion_limits limits)
+                     node_id_sequences ids, promotion_limits limits)
     : proposal_{std::move(proposal)}, ids_{ids}, limits_{limits} {
     for (auto& server : servers) {
         servers_.push_back(
@@ -251,7 +251,7 @@
 void promotion::finish(progress end, const std::string& reason, actions& out) {
     state_ = end;
     const bool won = end == progress::won;
-    log(out, log_part, won ? log_level::info : log_level::warning,
+    log(out, log_component, won ? log_level::info : log_level::warning,
         "group " + proposal_.group.str() + " term " + std::to_string(proposal_.proposed.value()) +
             (won ? " promoted: " : " not promoted: ") + reason);
     stop(out);
--- a/src/core/membership/membership.cpp
+++ b/src/core/membership/membership.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char* log_part = "membership";
+constexpr const char* log_component = "membership";
 
 /// Well below `pause_threshold`, so that a late tick is not taken for a pause.
 constexpr duration max_tick_interval = std::chrono::milliseconds{250};
@@ -216,7 +216,7 @@
     note_event(now);
     table_.leave_self();
     changed_ = true;
-    log(out, log_part, log_level::info, "leaving the fleet, announcing it to other VMs");
+    log(out, log_component, log_level::info, "leaving the fleet, announcing it to other VMs");
     queue_update(table_.self());
     const auto receivers = choose(departure_receivers, [](const member_record& record) {
         return record.health != member_health::dead;
@@ -340,7 +340,7 @@
         suspects_.insert(target);
         ping(now, target, false, out);
     }
-    log(out, log_part, log_level::info,
+    log(out, log_component, log_level::info,
         target.str() + " does not answer, now " + text_of(record->health));
     queue_update(*record);
 }
@@ -354,7 +354,7 @@
         }
         if (now >= record.suspect_until) {
             table_.set_health(record, member_health::dead);
-            log(out, log_part, log_level::warning, suspect->str() + " is dead");
+            log(out, log_component, log_level::warning, suspect->str() + " is dead");
             changed_ = true;
             queue_update(record);
             suspect = suspects_.erase(suspect);
--- a/src/core/membership/membership_list.cpp
+++ b/src/core/membership/membership_list.cpp
@@ -108,7 +108,7 @@
         list_failed(now);
         return true;
     }
-    on_store_heard(now);
+    on_store_answered(now);
     list_pending_ = false;
     list_due_at_ = now;
     const bool newer = answer.version > list_version_ || !list_read_;
@@ -139,7 +139,7 @@
     return true;
 }
 
-void membership::on_store_heard(time_point now) {
+void membership::on_store_answered(time_point now) {
     store_answered_at_ = std::max(store_answered_at_, now);
 }
 
--- a/src/core/membership/membership_news.cpp
+++ b/src/core/membership/membership_news.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr const char* log_part = "membership";
+constexpr const char* log_component = "membership";
 
 /// Payload that stays below the smallest path MTU in use (1280 bytes) with all headers.
 constexpr std::size_t max_datagram_bytes = 1200;
@@ -89,7 +89,7 @@
         queue_update(record, 1);
         return;
     case merge_result::refuted:
-        log(out, log_part, log_level::info,
+        log(out, log_component, log_level::info,
             "refuted an update that reports this VM as " +
                 std::string{to_json(update.health).asString()});
         queue_update(record);
@@ -119,7 +119,8 @@
     refreshed_at_ = now;
     delegate_rank_ = find_delegate_rank();
     ++version_;
-    log(out, log_part, log_level::info, std::to_string(live_.size()) + " live VMs in the fleet");
+    log(out, log_component, log_level::info,
+        std::to_string(live_.size()) + " live VMs in the fleet");
 }
 
 void membership::send(time_point now, const vm_id& to, membership_probe probe, actions& out) {
--- a/src/core/node/action_dispatcher.cpp
+++ b/src/core/node/action_dispatcher.cpp
@@ -11,7 +11,7 @@
     void operator()(const close_connection& value) const { self.ports_.backends.close(value); }
     void operator()(const store_request& value) const { self.ports_.store.call(value); }
     void operator()(const send_to_peer& value) const { self.ports_.peers.send(value); }
-    void operator()(const log_decision& value) const { self.ports_.diagnostics.log(value); }
+    void operator()(const log_record& value) const { self.ports_.diagnostics.log(value); }
     void operator()(const measurement& value) const { self.ports_.diagnostics.measure(value); }
     void operator()(const jackdawvane::stopped& /*value*/) const { self.stopped_ = true; }
 };
--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -66,7 +66,7 @@
       limiter_{settings.self.vm,           settings.incarnation, settings.self.place,
                limiter_settings(settings), request_ids_,         random_},
       router_{settings.self.place}, owned_{owned_settings(settings), random_,
-                                           node_ids{connection_ids_, request_ids_}},
+                                           node_id_sequences{connection_ids_, request_ids_}},
       executor_{*this, request_ids_} {}
 
 void node_impl::handle(time_point now, const event& what, actions& out) {
--- a/src/core/node/node_events.cpp
+++ b/src/core/node/node_events.cpp
@@ -8,9 +8,9 @@
     executor_.on_caller(now, request, out);
 }
 
-void node_impl::on(time_point /*now*/, const caller_gone& gone, actions& /*out*/) {
+void node_impl::on(time_point /*now*/, const caller_disconnected& gone, actions& /*out*/) {
     limiter_.withdraw(request_id{gone.caller.value()});
-    executor_.on_caller_gone(gone.caller);
+    executor_.on_caller_disconnected(gone.caller);
 }
 
 void node_impl::on(time_point now, const backend_connected& connected, actions& out) {
@@ -27,7 +27,7 @@
 
 void node_impl::on(time_point now, const store_answer& answer, actions& out) {
     if (answer.status != store_status::unavailable) {
-        members_.on_store_heard(now);
+        members_.on_store_answered(now);
     }
     if (members_.on_store(now, answer, out) || configuration_.on_store(now, answer, out) ||
         limiter_.on_store(now, answer, out)) {
@@ -131,8 +131,8 @@
     return router_.candidates(row->second, request, {}, now);
 }
 
-void node_impl::avoid(time_point now, const backend_server_id& backend, routing_trouble trouble) {
-    router_.avoid(backend, trouble, now);
+void node_impl::avoid(time_point now, const backend_server_id& backend, routing_failure failure) {
+    router_.avoid(backend, failure, now);
 }
 
 group_id node_impl::choose_group(const pool_row& pool, const std::string& partition) const {
--- a/src/core/node/node_impl.hpp
+++ b/src/core/node/node_impl.hpp
@@ -31,7 +31,7 @@
   private:
     // One overload per event.
     void on(time_point now, const caller_request& request, actions& out);
-    void on(time_point now, const caller_gone& gone, actions& out);
+    void on(time_point now, const caller_disconnected& gone, actions& out);
     void on(time_point now, const backend_connected& connected, actions& out);
     void on(time_point now, const backend_disconnected& disconnected, actions& out);
     void on(time_point now, const backend_answered& answered, actions& out);
@@ -90,7 +90,7 @@
                                   actions& out) override;
     [[nodiscard]] std::vector<backend_server_id> plan(time_point now,
                                                       const routing_query& query) override;
-    void avoid(time_point now, const backend_server_id& backend, routing_trouble trouble) override;
+    void avoid(time_point now, const backend_server_id& backend, routing_failure failure) override;
     [[nodiscard]] group_id choose_group(const pool_row& pool,
                                         const std::string& partition) const override;
     std::optional<vm_id> forward(time_point now, const forward_request& request, const vm_id* owner,
--- a/src/core/routing/request_executor.cpp
+++ b/src/core/routing/request_executor.cpp
@@ -233,7 +233,7 @@
         const bool behind = problem.kind == error_kind::replica_behind ||
                             problem.kind == error_kind::staleness_unproved;
         services_.avoid(now, tried,
-                        behind ? routing_trouble::behind : routing_trouble::unreachable);
+                        behind ? routing_failure::behind : routing_failure::unreachable);
     } else if (summary != nullptr && !summary->primary.empty() && summary->primary != tried &&
                r.replans < max_replans) {
         ++r.replans;
@@ -306,7 +306,7 @@
     requests_.erase(found);
 }
 
-void request_executor::on_caller_gone(caller_id caller) {
+void request_executor::on_caller_disconnected(caller_id caller) {
     forget(caller);
 }
 
--- a/src/core/routing/router.cpp
+++ b/src/core/routing/router.cpp
@@ -72,9 +72,9 @@
     return backends;
 }
 
-void router::avoid(const backend_server_id& backend, routing_trouble failure, time_point now) {
+void router::avoid(const backend_server_id& backend, routing_failure failure, time_point now) {
     std::erase_if(avoided_, [now](const auto& entry) { return entry.second.until <= now; });
-    const bool unreachable = failure == routing_trouble::unreachable;
+    const bool unreachable = failure == routing_failure::unreachable;
     avoided_[backend] = {failure, now + (unreachable ? unreachable_memory : behind_cooldown)};
 }
 
@@ -88,19 +88,19 @@
                                           time_point now) const {
     preference found;
     found.backend = backend;
-    found.unreachable = is_avoided(backend, routing_trouble::unreachable, now);
+    found.unreachable = is_avoided(backend, routing_failure::unreachable, now);
     found.inverse_weight = ~rendezvous_weight(request.key, backend.str());
     if (request.mode == access_mode::write) {
         return found;
     }
     found.is_primary = backend == request.primary;
-    found.behind = is_avoided(backend, routing_trouble::behind, now);
+    found.behind = is_avoided(backend, routing_failure::behind, now);
     found.distance = proximity_of(self_, row.place);
     found.load = load ? load(backend) / std::max(row.slots, 1U) : 0;
     return found;
 }
 
-bool router::is_avoided(const backend_server_id& backend, routing_trouble failure,
+bool router::is_avoided(const backend_server_id& backend, routing_failure failure,
                         time_point now) const {
     const auto found = avoided_.find(backend);
     return found != avoided_.end() && found->second.failure == failure && now < found->second.until;
--- a/src/core/sessions/backend_sessions.cpp
+++ b/src/core/sessions/backend_sessions.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* log_part = "connections";
+constexpr const char* log_component = "connections";
 constexpr duration sweep_step = std::chrono::milliseconds{200};
 /// A connection with more prepared statements than this is reset.
 constexpr std::size_t prepared_limit = 64;
@@ -152,7 +152,7 @@
     }
     auto& session = found->second;
     if (session.expected_replies.empty()) {
-        log(out.common, log_part, log_level::error,
+        log(out.common, log_component, log_level::error,
             "reply without a pending command backend=" + session.backend.str());
         discard(replied.connection, out);
         return true;
@@ -186,7 +186,7 @@
         }
     } else if (failed) {
         // After a failed reset, set, prepare or rollback the session state is unknown.
-        log(out.common, log_part, log_level::warning,
+        log(out.common, log_component, log_level::warning,
             "session setup or rollback failed backend=" + session.backend.str() +
                 " text=" + replied.reply.detail);
         const server_disconnected lost{replied.connection, close_reason::lost,
@@ -248,7 +248,7 @@
         load.failed_until = now + settings_.failure_backoff;
     }
     if (!session.open || !session.expected_replies.empty()) {
-        log(out.common, log_part, log_level::info,
+        log(out.common, log_component, log_level::info,
             "closed backend=" + session.backend.str() + " open=" + (session.open ? "1" : "0") +
                 " waiting=" + std::to_string(session.expected_replies.size()) +
                 " reason=" + to_string(closed.reason) + " problem=" + to_string(closed.problem));
--- a/src/core/sessions/coordinator_lease.cpp
+++ b/src/core/sessions/coordinator_lease.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr const char* log_part = "duty";
+constexpr const char* log_component = "duty";
 /// A store request without an answer for this long is abandoned.
 constexpr duration request_timeout = std::chrono::milliseconds{1500};
 
@@ -42,7 +42,7 @@
     }
     if (holder_ && now >= held_until_) {
         holder_ = false;
-        log(out, log_part, log_level::warning, "lost: the lease may have expired");
+        log(out, log_component, log_level::warning, "lost: the lease may have expired");
     }
     if (request_pending_ && now - request_sent_ > request_timeout) {
         request_pending_ = false;
@@ -73,11 +73,11 @@
             holder_ = true;
             fence_ = answer.version;
             next_renewal_ = now + settings_.renewal_interval;
-            log(out, log_part, log_level::info, "held fence=" + std::to_string(fence_));
+            log(out, log_component, log_level::info, "held fence=" + std::to_string(fence_));
         }
     } else if (!acquiring && answer.status == store_status::not_found && holder_) {
         holder_ = false;
-        log(out, log_part, log_level::warning, "lost: the lease expired in the store");
+        log(out, log_component, log_level::warning, "lost: the lease expired in the store");
     }
     return true;
 }
@@ -85,7 +85,7 @@
 void coordinator_lease::paused(actions& out) {
     if (holder_) {
         holder_ = false;
-        log(out, log_part, log_level::warning, "lost: this VM was paused");
+        log(out, log_component, log_level::warning, "lost: this VM was paused");
     }
     request_pending_ = false;
 }
@@ -97,7 +97,7 @@
         request.operation = store_operation::release_lease;
         request.key = settings_.key;
         out.emplace_back(std::move(request));
-        log(out, log_part, log_level::info, "released fence=" + std::to_string(fence_));
+        log(out, log_component, log_level::info, "released fence=" + std::to_string(fence_));
     }
     holder_ = false;
 }
--- a/src/core/sessions/failover_coordinator.cpp
+++ b/src/core/sessions/failover_coordinator.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* log_part = "promotion";
+constexpr const char* log_component = "promotion";
 
 std::string in_group(const group_id& group, const std::string& text) {
     return "group=" + group.str() + " " + text;
@@ -32,7 +32,7 @@
 void failover_coordinator::tick(time_point now, proxy_output& out) {
     if (!lease_.held(now)) {
         if (!attempts_.empty()) {
-            log(out.common, log_part, log_level::warning,
+            log(out.common, log_component, log_level::warning,
                 "stopped: the coordinator lease is not held");
         }
         attempts_.clear();
@@ -122,7 +122,7 @@
     current.old_term = leadership.term();
     current.target_term = leadership.highest_term().next();
     current.started = now;
-    log(out.common, log_part, log_level::warning,
+    log(out.common, log_component, log_level::warning,
         in_group(group, "start reason=\"" + current.reason +
                             "\" old=" + (current.old_primary ? current.old_primary->str() : "-") +
                             " term=" + std::to_string(current.target_term.value())));
@@ -357,7 +357,7 @@
     current.step = phase::promote;
     current.step_until = now + settings_.call_timeout;
     out.sessions.emplace_back(promote_server{group, *candidate, state_.self.vm, lease_.fence()});
-    log(out.common, log_part, log_level::info,
+    log(out.common, log_component, log_level::info,
         in_group(group, "promote backend=" + candidate->str() +
                             " fence=" + std::to_string(lease_.fence()) +
                             " log=" + std::to_string(current.replicas[*candidate]->term.value()) +
@@ -373,7 +373,7 @@
         return;
     }
     auto& current = found->second;
-    log(out.common, log_part, log_level::info,
+    log(out.common, log_component, log_level::info,
         in_group(answer.group, std::string{"answer accepted="} + (answer.accepted ? "1" : "0") +
                                    " not_running=" + (answer.not_running ? "1" : "0")));
     if (answer.accepted) {
@@ -400,7 +400,7 @@
             }
         }
         const auto log_end = last_status_[current.candidate].received;
-        log(out.common, log_part, log_level::info,
+        log(out.common, log_component, log_level::info,
             in_group(group, "leads term=" + std::to_string(leadership.term().value()) +
                                 " log=" + std::to_string(log_end.term.value()) + "." +
                                 std::to_string(log_end.position.value())));
@@ -420,7 +420,7 @@
 void failover_coordinator::end(time_point now, const group_id& group, const char* outcome,
                                proxy_output& out) {
     const auto& current = attempts_.at(group);
-    log(out.common, log_part, log_level::warning,
+    log(out.common, log_component, log_level::warning,
         in_group(group, std::string{"end outcome=\""} + outcome +
                             "\" ms=" + std::to_string(to_milliseconds(now - current.started))));
     next_attempt_at_[group] = now + settings_.retry_delay;
@@ -448,12 +448,12 @@
         }
         last = now;
         if (left_held) {
-            log(out.common, log_part, log_level::warning,
+            log(out.common, log_component, log_level::warning,
                 in_group(entry.registration.group, "resume backend=" + backend.str()));
             send(now, backend, command_kind::resume, {}, out);
             continue;
         }
-        log(out.common, log_part, log_level::warning,
+        log(out.common, log_component, log_level::warning,
             in_group(entry.registration.group, "step down backend=" + backend.str()));
         send(now, backend, command_kind::step_down, leadership.term(), out);
     }
--- a/src/core/sessions/group_observer.cpp
+++ b/src/core/sessions/group_observer.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr const char* log_part = "observer";
+constexpr const char* log_component = "observer";
 /// Timer resolution while this VM observes groups or waits for an answer.
 constexpr duration tick_step = std::chrono::milliseconds{25};
 /// Timer resolution at other times.
@@ -151,12 +151,12 @@
         return;
     }
     state_.update_group_members();
-    log(out.common, log_part, log_level::info,
+    log(out.common, log_component, log_level::info,
         "registry version=" + std::to_string(version) + " backends=" + std::to_string(list.size()) +
             " source=" + source + " age_ms=" + age_text(now, read_at));
     for (const auto& [backend, entry] : state_.directory.entries()) {
         if (entry.leaving_since == now) {
-            log(out.common, log_part, log_level::info,
+            log(out.common, log_component, log_level::info,
                 "leaving backend=" + backend.str() + " group=" + entry.registration.group.str() +
                     " staying_age_ms=" + age_text(now, entry.last_listed_staying) +
                     " source=" + source);
@@ -165,7 +165,7 @@
 }
 
 void group_observer::report_failed_read(time_point now, proxy_output& out) const {
-    log(out.common, log_part, log_level::warning,
+    log(out.common, log_component, log_level::warning,
         "registry_unread ms=" + std::to_string(to_milliseconds(now - directory_requested_at_)) +
             " age_ms=" + age_text(now, state_.directory.read_at()));
 }
@@ -180,7 +180,7 @@
                                         static_cast<double>(to_milliseconds(age))});
     const bool old = age > settings_.directory_stale_after;
     if (std::exchange(reported_stale_, old) != old) {
-        log(out.common, log_part, old ? log_level::warning : log_level::info,
+        log(out.common, log_component, old ? log_level::warning : log_level::info,
             std::string{old ? "registry_old" : "registry_current"} +
                 " age_ms=" + age_text(now, state_.directory.read_at()) +
                 " reader=" + (reader_.empty() ? state_.self.vm : reader_).str());
@@ -241,7 +241,7 @@
         return;
     }
     if (!own.sent.empty() && now - own.sent.front().at > settings_.answer_timeout) {
-        log(out.common, log_part, log_level::warning,
+        log(out.common, log_component, log_level::warning,
             "silent backend=" + entry.registration.backend.str() +
                 " ms=" + std::to_string(to_milliseconds(now - own.sent.front().at)));
         disconnect(now, own, out);
@@ -332,7 +332,7 @@
         if (const auto* entry = state_.directory.find(backend)) {
             state_.leadership(entry->registration.group).on_refused(tried, backend);
         }
-        log(out.common, log_part, log_level::warning, "refused backend=" + backend.str());
+        log(out.common, log_component, log_level::warning, "refused backend=" + backend.str());
     }
     return true;
 }
--- a/src/core/sessions/group_observer_queries.cpp
+++ b/src/core/sessions/group_observer_queries.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr const char* log_part = "observer";
+constexpr const char* log_component = "observer";
 /// VMs of each region that are queried for a second opinion, besides one of each other domain.
 constexpr std::size_t second_opinions_per_region = 2;
 
@@ -36,7 +36,7 @@
             continue;
         }
         if (!is_unresponsive(now, vm)) {
-            log(out.common, log_part, log_level::warning,
+            log(out.common, log_component, log_level::warning,
                 "observer did not answer vm=" + vm.str() +
                     " limit_ms=" + std::to_string(to_milliseconds(settings_.query_timeout)));
         }
@@ -187,7 +187,7 @@
         (reply.directory_read_version > 0 && reply.directory_age <= settings_.reader_max_age)) {
         return;
     }
-    log(out.common, log_part, log_level::warning,
+    log(out.common, log_component, log_level::warning,
         "reader_old vm=" + from.str() +
             " age_ms=" + std::to_string(to_milliseconds(reply.directory_age)) +
             " limit_ms=" + std::to_string(to_milliseconds(settings_.reader_max_age)));
--- a/src/core/sessions/session_proxy.cpp
+++ b/src/core/sessions/session_proxy.cpp
@@ -321,7 +321,7 @@
 
 void session_proxy::on(time_point now, const store_answer& input, proxy_output& out) {
     if (input.status != store_status::unavailable) {
-        members_.on_store_heard(now);
+        members_.on_store_answered(now);
     }
     if (!members_.on_store(now, input, out.common) &&
         !configuration_.on_store(now, input, out.common) &&
--- a/tests/adapters/asio_host_test.cpp
+++ b/tests/adapters/asio_host_test.cpp
@@ -9,14 +9,14 @@
 namespace jackdawvane {
 namespace {
 
-/// Node that counts its ticks and responds to `caller_gone` with two actions.
+/// Node that counts its ticks and responds to `caller_disconnected` with two actions.
 class recording_node final : public node_interface {
   public:
     void handle(time_point now, const event& what, actions& out) override {
         EXPECT_GE(now, last);
         last = now;
         ticks += std::holds_alternative<timer_tick>(what) ? 1 : 0;
-        if (std::holds_alternative<caller_gone>(what)) {
+        if (std::holds_alternative<caller_disconnected>(what)) {
             out.emplace_back(caller_answer{});
             out.emplace_back(stopped{});
         }
@@ -33,7 +33,7 @@
 /// Port that delivers an event from within its call, which ports must not do.
 struct nested_port final : caller_port, diagnostics_port {
     void answer(const caller_answer& /*answer*/) override { on_answer(); }
-    void log(const log_decision& /*line*/) override {}
+    void log(const log_record& /*line*/) override {}
     void measure(const measurement& /*value*/) override {}
     std::function<void()> on_answer;
 };
@@ -75,7 +75,7 @@
         EXPECT_EQ(node.ticks, before);
     };
     host.start({nested, backends, store, peers, nested});
-    host.deliver(caller_gone{});
+    host.deliver(caller_disconnected{});
     EXPECT_EQ(node.ticks, 2);
     EXPECT_EQ(stops, 1);
 }
--- a/tests/adapters/caller_api_test.cpp
+++ b/tests/adapters/caller_api_test.cpp
@@ -202,9 +202,9 @@
         caller.post("/v1/routes/r", good_body);
         ASSERT_TRUE(run_until([&] { return log.count<caller_request>() == 1; }));
     }
-    ASSERT_TRUE(run_until([&] { return log.count<caller_gone>() == 1; }));
+    ASSERT_TRUE(run_until([&] { return log.count<caller_disconnected>() == 1; }));
     const auto id = log.all<caller_request>().front().caller;
-    EXPECT_EQ(log.all<caller_gone>().front().caller, id);
+    EXPECT_EQ(log.all<caller_disconnected>().front().caller, id);
     answer(id, "late");
     EXPECT_EQ(api.waiting(), 0U);
 }
--- a/tests/core/group_simulation.hpp
+++ b/tests/core/group_simulation.hpp
@@ -201,7 +201,8 @@
         host.monitors[backend] = std::make_unique<group_monitor>(
             monitored_backend{vm_id{std::to_string(vm_index)}, place_of(vm_index), group_id{"g"},
                               id_of(backend)},
-            group_monitor_settings{}, host.random, node_ids{host.connections, host.requests});
+            group_monitor_settings{}, host.random,
+            node_id_sequences{host.connections, host.requests});
         configure();
         actions out;
         host.monitors[backend]->start(now_, out);
--- a/tests/core/membership_fleet.hpp
+++ b/tests/core/membership_fleet.hpp
@@ -184,7 +184,7 @@
                 transmit(n, *sent);
             } else if (auto* const call = std::get_if<store_request>(&wanted)) {
                 call_store(n, *call);
-            } else if (const auto* const line = std::get_if<log_decision>(&wanted)) {
+            } else if (const auto* const line = std::get_if<log_record>(&wanted)) {
                 suspicions += line->text.ends_with("now suspect") ? 1 : 0;
             }
         }
--- a/tests/core/request_executor_test.cpp
+++ b/tests/core/request_executor_test.cpp
@@ -51,7 +51,7 @@
         return query.mode == access_mode::write ? write_plan : read_plan;
     }
     void avoid(time_point /*now*/, const backend_server_id& /*backend*/,
-               routing_trouble /*trouble*/) override {}
+               routing_failure /*failure*/) override {}
     [[nodiscard]] group_id choose_group(const pool_row& /*pool*/,
                                         const std::string& /*partition*/) const override {
         return group_id{"g"};
--- a/tests/core/router_test.cpp
+++ b/tests/core/router_test.cpp
@@ -47,8 +47,8 @@
 TEST_P(RouterPreference, OrdersBackendServers) {
     const auto& tested = GetParam();
     router tested_router{here};
-    tested_router.avoid(backend_server_id{tested.unreachable}, routing_trouble::unreachable, start);
-    tested_router.avoid(backend_server_id{tested.behind}, routing_trouble::behind, start);
+    tested_router.avoid(backend_server_id{tested.unreachable}, routing_failure::unreachable, start);
+    tested_router.avoid(backend_server_id{tested.behind}, routing_failure::behind, start);
     const routing_request request{tested.mode, "order-7", backend_server_id{tested.primary}};
     const auto found = tested_router.candidates(group_of(tested.near_state), request, {}, start);
     EXPECT_EQ(joined(found), tested.expected);
@@ -93,7 +93,7 @@
     };
     EXPECT_EQ(tested.candidates(group, request, busy(1), start).front(), first);
     EXPECT_NE(tested.candidates(group, request, busy(2), start).front(), first);
-    tested.avoid(first, routing_trouble::unreachable, start);
+    tested.avoid(first, routing_failure::unreachable, start);
     EXPECT_EQ(tested.candidates(group, request, {}, start).back(), first);
     const auto later = start + router::unreachable_memory;
     EXPECT_EQ(tested.candidates(group, request, {}, later).front(), first);
@@ -174,7 +174,7 @@
                 served = tried;
                 break;
             }
-            tested.avoid(tried, routing_trouble::behind, now);
+            tested.avoid(tried, routing_failure::behind, now);
         }
         ASSERT_FALSE(served.empty());
         ASSERT_GE(group.logs[served].position, needed.position);
--- a/tests/core/statement_executor_test.cpp
+++ b/tests/core/statement_executor_test.cpp
@@ -170,7 +170,7 @@
     fixture.tick(1850);
     std::string text;
     for (const auto& each : fixture.out.common) {
-        if (const auto* line = std::get_if<log_decision>(&each)) {
+        if (const auto* line = std::get_if<log_record>(&each)) {
             text += line->text;
         }
     }
