--- a/include/jackdawvane/failover/group_monitor.hpp
+++ b/include/jackdawvane/failover/group_monitor.hpp
@@ -19,10 +19,10 @@
 /// @brief Times of a group monitor.
 struct group_monitor_settings {
     duration status_wait{std::chrono::milliseconds{250}};           ///< Wait of a status long poll.
-    duration answer_limit{std::chrono::milliseconds{150}};          ///< For an answer or a probe.
+    duration answer_timeout{std::chrono::milliseconds{150}};        ///< For an answer or a probe.
     duration own_region_allowance{std::chrono::milliseconds{10}};   ///< Connect and round trip.
     duration other_region_allowance{std::chrono::milliseconds{50}}; ///< To another region.
-    duration primary_silence{std::chrono::milliseconds{600}};       ///< Time-out of its reports.
+    duration primary_timeout{std::chrono::milliseconds{600}};       ///< Time-out of its reports.
     duration rank_delay{std::chrono::milliseconds{200}};            ///< Election delay per rank.
     duration follow_interval{std::chrono::milliseconds{300}};       ///< Between `follow` requests.
     duration reconnect{std::chrono::milliseconds{250}};   ///< Between connection attempts.
--- a/include/jackdawvane/node/store.hpp
+++ b/include/jackdawvane/node/store.hpp
@@ -99,7 +99,7 @@
     std::uint32_t slots{1}; ///< Maximum number of concurrent statements.
     bool leaving{false};    ///< Shutting down; still serves until it exits.
     backend_role role{backend_role::replica};
-    duration warm_up_left{0};       ///< Remaining time for which it is slow.
+    duration warm_up_remaining{0};  ///< Remaining time for which it is slow.
     std::uint64_t started_at_ms{0}; ///< Unix time of its start; a restart keeps the id.
 
     static constexpr auto fields() {
@@ -111,7 +111,7 @@
                           field("slots", &self::slots),
                           field("leaving", &self::leaving),
                           field("role", &self::role),
-                          field("warm_up_left_us", &self::warm_up_left),
+                          field("warm_up_left_us", &self::warm_up_remaining),
                           field("started_at_ms", &self::started_at_ms)};
     }
     friend bool operator==(const backend_registration&, const backend_registration&) = default;
--- a/include/jackdawvane/routing/router.hpp
+++ b/include/jackdawvane/routing/router.hpp
@@ -39,7 +39,7 @@
     /// Time for which a backend server that did not answer is tried last. Long enough that a burst
     /// of requests does not wait for it each time, short enough that a restarted backend server is
     /// used again soon.
-    static constexpr duration unreachable_memory = std::chrono::seconds{1};
+    static constexpr duration unreachable_ttl = std::chrono::seconds{1};
     /// Time for which a replica that was behind is tried after the other replicas. Replicas lag by
     /// about 50 ms, so a longer time would keep away reads that the replica can serve again.
     static constexpr duration behind_cooldown = std::chrono::milliseconds{200};
@@ -60,7 +60,7 @@
 
     /// @brief Records that @a backend could not serve a request.
     ///
-    /// An unreachable backend server is tried last for `unreachable_memory`. A replica that was
+    /// An unreachable backend server is tried last for `unreachable_ttl`. A replica that was
     /// behind is tried after the other replicas but before the primary, so that one session with a
     /// recent position does not move the reads of all other sessions to the primary.
     void avoid(const backend_server_id& backend, routing_failure failure, time_point now);
--- a/include/jackdawvane/sessions/statement_executor.hpp
+++ b/include/jackdawvane/sessions/statement_executor.hpp
@@ -46,7 +46,7 @@
     /// to an unresponsive server ends with an unknown outcome, while a waiting one can still be
     /// refused as not run. Exceeds the sum of the status interval, the query to the observer and
     /// the round trips.
-    duration primary_silence{std::chrono::milliseconds{700}};
+    duration primary_timeout{std::chrono::milliseconds{700}};
     /// A leaving backend server gets new statements for this long after the last read of the
     /// registry that did not list it as leaving. It serves for at least 7 s after it has announced
     /// that it leaves, and a statement may wait up to 850 ms for a connection.
--- a/src/core/failover/group_monitor.cpp
+++ b/src/core/failover/group_monitor.cpp
@@ -298,7 +298,7 @@
     request.after = poll_->answer().status.position;
     request.wait = settings_.status_wait;
     const auto limit =
-        settings_.status_wait + settings_.answer_limit + network_allowance(watched_.backend);
+        settings_.status_wait + settings_.answer_timeout + network_allowance(watched_.backend);
     poll_->send(now, std::move(request), limit, out);
 }
 
@@ -306,7 +306,7 @@
     probe_due_ = no_deadline;
     probe_.emplace(call_to(watched_.backend));
     probe_->send(now, backend_request{},
-                 settings_.answer_limit + network_allowance(watched_.backend), out);
+                 settings_.answer_timeout + network_allowance(watched_.backend), out);
 }
 
 void group_monitor::start_follow(time_point now, actions& out) {
@@ -321,7 +321,7 @@
     request.primary = primary->second.endpoint;
     follow_.emplace(call_to(watched_.backend));
     follow_->send(now, std::move(request),
-                  settings_.answer_limit + network_allowance(watched_.backend), out);
+                  settings_.answer_timeout + network_allowance(watched_.backend), out);
     log(out, log_component, log_level::info,
         watched_.backend.str() + " is asked to follow " + view_.primary().str() + " in term " +
             text_of(view_.known_term()));
@@ -341,7 +341,7 @@
             view_.primary().str());
     primary_probe_.emplace(call_to(view_.primary()));
     primary_probe_->send(now, backend_request{},
-                         settings_.answer_limit + network_allowance(view_.primary()), out);
+                         settings_.answer_timeout + network_allowance(view_.primary()), out);
 }
 
 void group_monitor::start_promotion(time_point now, const std::string& reason, actions& out) {
--- a/src/core/failover/group_monitor_election.cpp
+++ b/src/core/failover/group_monitor_election.cpp
@@ -15,13 +15,13 @@
         return next;
     }
     if (view_.known_term() == term{}) {
-        next = {silence_start_ + settings_.primary_silence + election_delay(), false,
+        next = {silence_start_ + settings_.primary_timeout + election_delay(), false,
                 "no primary is known"};
     } else {
         next = lost_primary_election();
     }
     if (leaderless_since_) {
-        const auto due = *leaderless_since_ + settings_.primary_silence + election_delay();
+        const auto due = *leaderless_since_ + settings_.primary_timeout + election_delay();
         if (due < next.due) {
             next = {due, false, "a later term has no primary"};
         }
@@ -46,7 +46,7 @@
     // The owner of rank 0 is silent, too. The probe takes about one rank delay, so it replaces that
     // delay instead of adding to it.
     const auto last_report_at = view_.last_report_at(view_.primary()).value_or(silence_start_);
-    return {std::max(last_report_at, silence_start_) + settings_.primary_silence +
+    return {std::max(last_report_at, silence_start_) + settings_.primary_timeout +
                 election_delay() - settings_.rank_delay,
             true, "no report about the primary within the time limit"};
 }
--- a/src/core/node/node.cpp
+++ b/src/core/node/node.cpp
@@ -24,7 +24,7 @@
     owned.incarnation = settings.incarnation;
     owned.place = settings.self.place;
     owned.monitor.status_wait = settings.status_wait;
-    owned.monitor.answer_limit = settings.probe_timeout;
+    owned.monitor.answer_timeout = settings.probe_timeout;
     owned.monitor.rank_delay = settings.promotion_rank_delay;
     return owned;
 }
--- a/src/core/routing/router.cpp
+++ b/src/core/routing/router.cpp
@@ -75,7 +75,7 @@
 void router::avoid(const backend_server_id& backend, routing_failure failure, time_point now) {
     std::erase_if(avoided_, [now](const auto& entry) { return entry.second.until <= now; });
     const bool unreachable = failure == routing_failure::unreachable;
-    avoided_[backend] = {failure, now + (unreachable ? unreachable_memory : behind_cooldown)};
+    avoided_[backend] = {failure, now + (unreachable ? unreachable_ttl : behind_cooldown)};
 }
 
 void router::served(const backend_server_id& backend) {
--- a/src/core/sessions/statement_placement.cpp
+++ b/src/core/sessions/statement_placement.cpp
@@ -93,7 +93,7 @@
         return false;
     }
     if (!leadership.confirmed(now) ||
-        now - leadership.primary_answered_at() > settings_.primary_silence ||
+        now - leadership.primary_answered_at() > settings_.primary_timeout ||
         !forwarder_.open(now, *leadership.primary())) {
         return false;
     }
@@ -170,7 +170,7 @@
         candidate.last_used = session.last_backend == backend;
         const auto received = leadership.received(backend);
         candidate.lagging = !confirmed_primary && received && required && *received < *required;
-        candidate.warming_up = registration.warm_up_left > duration{0};
+        candidate.warming_up = registration.warm_up_remaining > duration{0};
         candidate.leaving = registration.leaving || entry.absent_since != no_deadline;
         found.push_back(candidate);
     }
--- a/tests/core/router_test.cpp
+++ b/tests/core/router_test.cpp
@@ -95,7 +95,7 @@
     EXPECT_NE(tested.candidates(group, request, busy(2), start).front(), first);
     tested.avoid(first, routing_failure::unreachable, start);
     EXPECT_EQ(tested.candidates(group, request, {}, start).back(), first);
-    const auto later = start + router::unreachable_memory;
+    const auto later = start + router::unreachable_ttl;
     EXPECT_EQ(tested.candidates(group, request, {}, later).front(), first);
 }
 
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -67,7 +67,7 @@
     EXPECT_EQ(entry.slots, 3U);
     EXPECT_TRUE(entry.leaving);
     EXPECT_EQ(entry.role, backend_role::primary);
-    EXPECT_EQ(entry.warm_up_left, from_milliseconds(40));
+    EXPECT_EQ(entry.warm_up_remaining, from_milliseconds(40));
     EXPECT_EQ(entry.started_at_ms, 1700000000000U);
 }
 
