--- a/tests/studies/capacity_study.cpp
+++ b/tests/studies/capacity_study.cpp
@@ -1,4 +1,5 @@
-// Cost of a fleet without traffic, and of a configuration by its size.
+// Measures the resource use of a fleet without traffic, of a configuration by its size, and of the
+// messages of a forwarded request.
 //
 // usage: capacity_study fleet [VMS]...             messages, bytes, store calls, processor time
 //        capacity_study configuration [BACKENDS]... document size, memory, decoding, placement
@@ -23,7 +24,8 @@
 
 constexpr std::uint64_t seed = 42;
 
-/// Share holders correct each other's records until about 75 s after a start.
+/// Longer than the about 75 s after a start in which holders of rate shares correct each other's
+/// records.
 constexpr auto settling = seconds{120};
 
 /// Processor time of this process in seconds.
@@ -90,21 +92,21 @@
         std::cout << ' ' << operation << ' ' << number << ',';
     }
     std::cout << " conflicts " << start_conflicts << '\n';
-    const auto weighed_before = processor_time();
+    const auto with_encoding_before = processor_time();
     fleet.run(length);
-    const auto weighed = processor_time() - weighed_before;
-    fleet.weighing = false;
-    const auto bare_before = processor_time();
+    const auto with_encoding = processor_time() - with_encoding_before;
+    fleet.count_bytes = false;
+    const auto without_encoding_before = processor_time();
     fleet.run(length);
-    const auto bare = processor_time() - bare_before;
-    std::cout << " processor time per node: " << 100 * bare / node_seconds
-              << "% of a core with harness, " << 100 * weighed / node_seconds
+    const auto without_encoding = processor_time() - without_encoding_before;
+    std::cout << " processor time per node: " << 100 * without_encoding / node_seconds
+              << "% of a core with harness, " << 100 * with_encoding / node_seconds
               << "% with encoding; memory of the process per VM "
               << (resident() - memory_before) / static_cast<double>(vms) / 1024 << " KiB"
               << std::endl;
 }
 
-/// Heap memory in use, in bytes; unlike resident memory it does not depend on what was freed.
+/// Heap memory in use, in bytes. Unlike resident memory, it excludes memory that was freed.
 double allocated() {
     const auto heap = mallinfo2();
     return static_cast<double>(heap.uordblks + heap.hblkhd);
@@ -126,7 +128,8 @@
     return edit;
 }
 
-/// Bytes of one edit of an organisation, and of one edit of the largest pool.
+/// Encoded bytes of an edit of one organisation, and of an edit of the first pool, which is the
+/// largest.
 std::pair<std::size_t, std::size_t> edit_sizes(const configuration_document& document) {
     const auto& organisation = *document.organisations.begin();
     const auto& pool = *document.pools.begin();
@@ -150,14 +153,14 @@
     random_engine random{seed};
     id_sequence<connection_id> connections;
     id_sequence<request_id> requests;
-    owned_backends part{settings, random, {connections, requests}};
+    owned_backends owned{settings, random, {connections, requests}};
     actions out;
     const time_point now{seconds{1}};
-    part.reconcile(now, document, live, out);
+    owned.reconcile(now, document, live, out);
     constexpr int rounds = 20;
     const auto spent = milliseconds_of([&] {
         for (int i = 0; i < rounds; ++i) {
-            part.reconcile(now, document, live, out);
+            owned.reconcile(now, document, live, out);
         }
     });
     std::cout << "; one reconcile with " << vms << " VMs " << spent / rounds << " ms";
@@ -195,7 +198,7 @@
     std::cout << "; apply one edit " << applying / rounds << " ms" << std::endl;
 }
 
-/// Prints the bytes of @a message on the wire and the time to write, read and decode it.
+/// Prints the size of @a message on the wire and the times to encode and to parse and decode it.
 void study_message(const peer_message& message) {
     constexpr int rounds = 20'000;
     const std::string method{method_of(message)};
@@ -212,8 +215,9 @@
             written += decoded ? 1 : 0;
         }
     });
-    const auto frame = capacity_fleet::frame + capacity_fleet::stream_headers + method.size();
-    std::cout << method << ": " << text.size() << " B of JSON, " << text.size() + frame
+    const auto frame_bytes =
+        capacity_fleet::frame_bytes + capacity_fleet::stream_header_bytes + method.size();
+    std::cout << method << ": " << text.size() << " B of JSON, " << text.size() + frame_bytes
               << " B on the wire, encode " << 1e3 * encoding / rounds << " us, decode "
               << 1e3 * decoding / rounds << " us" << (written == 0 ? "?" : "") << std::endl;
 }
@@ -242,9 +246,9 @@
     study_message(reply);
 }
 
-std::vector<std::size_t> sizes_of(int argc, char** argv, std::vector<std::size_t> standard) {
+std::vector<std::size_t> sizes_of(int argc, char** argv, std::vector<std::size_t> defaults) {
     if (argc <= 2) {
-        return standard;
+        return defaults;
     }
     std::vector<std::size_t> sizes;
     for (int i = 2; i < argc; ++i) {
--- a/tests/studies/membership_study.cpp
+++ b/tests/studies/membership_study.cpp
@@ -1,4 +1,5 @@
-// Cost and speed of the membership protocol in virtual time, by fleet size.
+// Measures the traffic and CPU use of the membership protocol and the time in which it detects
+// failures and new VMs, in virtual time and by fleet size.
 
 #include <ctime>
 #include <iostream>
@@ -17,42 +18,44 @@
     return static_cast<double>(value.count()) / 1e6;
 }
 
-struct detection {
+struct detection_times {
     duration first{0};
     duration everywhere{0};
 };
 
-detection detect_death(membership_fleet& fleet, membership_fleet::node& victim) {
-    victim.up = false;
+detection_times measure_failure_detection(membership_fleet& fleet,
+                                          membership_fleet::node& failed_vm) {
+    failed_vm.up = false;
     const auto begin = fleet.now;
     fleet.time_until(seconds{60}, [&] {
         return std::any_of(fleet.nodes.begin(), fleet.nodes.end(), [&](const auto& node) {
-            return node->up && !membership_fleet::view(*node, victim.entry.vm);
+            return node->up && !membership_fleet::view(*node, failed_vm.entry.vm);
         });
     });
     const auto first = fleet.now - begin;
-    fleet.time_until(seconds{60}, [&] { return fleet.all_view(victim, std::nullopt); });
+    fleet.time_until(seconds{60}, [&] { return fleet.all_view(failed_vm, std::nullopt); });
     return {first, fleet.now - begin};
 }
 
-/// Kills VMs one after the other, then adds one.
+/// Measures the detection of 5 VM failures one after the other, then of a new VM.
 void measure_changes(membership_fleet& fleet, std::size_t size) {
-    constexpr std::size_t deaths = 5;
-    detection sum;
-    detection longest;
-    for (std::size_t i = 0; i < deaths; ++i) {
-        const auto found = detect_death(fleet, fleet.of(i * size / deaths));
+    constexpr std::size_t failures = 5;
+    detection_times sum;
+    detection_times longest;
+    for (std::size_t i = 0; i < failures; ++i) {
+        const auto found = measure_failure_detection(fleet, fleet.of(i * size / failures));
         sum = {sum.first + found.first, sum.everywhere + found.everywhere};
         longest = {std::max(longest.first, found.first),
                    std::max(longest.everywhere, found.everywhere)};
         fleet.run(seconds{3});
     }
-    auto& fresh = fleet.add(size);
+    auto& new_vm = fleet.add(size);
     const auto join =
-        fleet.time_until(seconds{60}, [&] { return fleet.all_view(fresh, vm_state::live); });
-    std::cout << "  " << deaths << " deaths: first noticed after " << in_seconds(sum.first) / deaths
-              << " s (mean), " << in_seconds(longest.first) << " s (longest); known everywhere "
-              << in_seconds(sum.everywhere) / deaths << " s, " << in_seconds(longest.everywhere)
+        fleet.time_until(seconds{60}, [&] { return fleet.all_view(new_vm, vm_state::live); });
+    std::cout << "  " << failures << " deaths: first noticed after "
+              << in_seconds(sum.first) / failures << " s (mean), " << in_seconds(longest.first)
+              << " s (longest); known everywhere " << in_seconds(sum.everywhere) / failures
+              << " s, " << in_seconds(longest.everywhere)
               << " s\n  new VM known everywhere: " << in_seconds(join)
               << " s; largest datagram with headers " << fleet.largest_datagram
               << " B; suspicions raised " << fleet.suspicions << std::endl;
