--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Randomized fault soak of jackdawvane-entry: real processes, faults from outside, a judge.
+"""Randomized fault soak test of jackdawvane-entry with real processes.
 
-Each seed starts the stand-in for the users' platform, the network relay and six VMs, lets callers
-use SQL sessions, and injects faults in series and overlapping: VMs are killed, stopped, paused and
-restarted; connections are delayed, cut one from another, reset and silenced; backend servers crash,
-go dark, lag and lose answers; the store is down, slow, loses answers and turns VMs away; the
-configuration changes. Afterwards the judge compares what callers got with what backend servers ran.
+Each seed starts the stand-in for the platform, the network relay and six VMs, runs callers with
+SQL sessions, and injects faults in series and overlapping: VMs are killed, stopped, paused and
+restarted; connections are delayed, cut, reset and silenced; backend servers crash, stop answering,
+lag, lose answers, are isolated and leave; the store is down or slow, loses answers, forgets its
+history and refuses VMs; the configuration changes. Afterwards the checker compares the answers that
+callers received with the statements that backend servers ran.
 
 usage: tools/soak.py [--jobs N] [--keep] [--vms N] [--faults SET] SEED...
                                                       (a seed is a number or FIRST-LAST)
@@ -28,18 +29,18 @@
 from soak_judge import judge
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-LOAD_S = 18          # faults come and go in this time
-RECOVERY_S = 5       # from the end of all faults until service is judged; `config_apply_ms` and more
-TAIL_S = 3           # service is judged in this time
+LOAD_S = 18          # faults are injected within this time
+RECOVERY_S = 5       # from the end of all faults until service is checked; over `config_apply_ms`
+TAIL_S = 3           # service is checked during this time
 CALLERS = 24
 REGIONS = {'east-1': 'east', 'east-2': 'east', 'west-1': 'west'}
-VMS = 6               # if not given
+VMS = 6               # default of --vms
 FIRST_FAULTS = ('kill_vm', 'kill_herd', 'stop_vm', 'freeze_vm', 'crash_member', 'crash_member',
                 'isolate_member', 'lag_group', 'lose_member_answers', 'leave_member', 'store_down',
                 'store_odd', 'cut', 'cut', 'silence', 'change_configuration', 'reload')
 FAULTS = FIRST_FAULTS + ('leave_member_for_long', 'leave_while_vms_are_turned_away',
                          'turn_vms_away')
-# Most backend servers leave, while VMs lose the store or start again.
+# Backend servers leave while VMs cannot reach the store or are restarted.
 LEAVING_FAULTS = ('leave_member_for_long', 'leave_while_vms_are_turned_away',
                   'leave_while_vms_are_turned_away', 'turn_vms_away', 'cut', 'stop_vm', 'kill_vm')
 FAULT_SETS = {'all': FAULTS, 'first': FIRST_FAULTS, 'leaving': LEAVING_FAULTS}
@@ -49,7 +50,7 @@
 
 
 def organisations():
-    """Limits; the callers of `org-hot` ask for more than theirs."""
+    """Rate limits; the callers of `org-hot` exceed theirs."""
     return {'org-a': dict(rate_per_s=60, burst=60), 'org-b': dict(rate_per_s=30, burst=30),
             'org-hot': dict(rate_per_s=8, burst=8)}
 
@@ -61,7 +62,7 @@
         self.random = random.Random(seed)
         self.net, self.folder, self.vm_count, self.faults = net, pathlib.Path(folder), vms, faults
         self.processes, self.events, self.version = {}, [], 0
-        self.disturbances = []  # [net of the VM or nothing for all, begin, end]
+        self.disturbances = []  # [net of the VM or None for all, begin, end]
         self.leaves = []        # (backend server, begin, end)
         self.used_members = set()
         self.keys = {name: [f'key-of-{name}', f'spare-key-of-{name}'] for name in organisations()}
@@ -90,7 +91,7 @@
         return str(path)
 
     def relays(self):
-        """Endpoints that others reach through the relay, each with its relayed address."""
+        """Endpoints that are reached through the relay, each with its relayed address."""
         wanted = [(self.site, STORE_PORT), (self.site, PROMOTION_PORT)]
         for vm in self.vms:
             wanted += [(vm['net'] + '.1', SESSION_PORT), (vm['net'] + '.1', PEER_PORT)]
@@ -152,7 +153,7 @@
     # -- control calls
 
     async def post(self, address, target, body=None):
-        """POST of JSON to a stand-in; its answer as JSON, or nothing when it refuses."""
+        """Posts JSON to a stand-in; returns its JSON answer, or None if the status is not 200."""
         host, port = address.rsplit(':', 1)
         reader, writer = await asyncio.open_connection(host, int(port), limit=2 ** 27)
         data = json.dumps({} if body is None else body).encode()
@@ -177,7 +178,7 @@
         await self.control('/fault', dict(member=dict(member=name, **fault)))
 
     async def configure(self):
-        """Publishes the present tables as a new version; tries until the store takes them."""
+        """Publishes the configuration as a new version; retries until the store accepts it."""
         self.version += self.random.randint(1, 5)
         routes = [dict(name='r1', host='orders', type='primary', service='ledger'),
                   dict(name='r2', host='catalogue', type='bounded_staleness', service='ledger',
@@ -207,7 +208,7 @@
 
     @contextlib.contextmanager
     def disturbed(self, nets):
-        """VMs, or with None all, that need not act in time meanwhile."""
+        """Exempts VMs (None means all) from the checks of reaction times while the block runs."""
         entries = [[net, time.monotonic(), float('inf')] for net in nets]
         self.disturbances += entries
         yield
@@ -216,7 +217,7 @@
 
     @contextlib.contextmanager
     def member_for_fault(self):
-        """A backend server that no other fault of this kind uses; nothing when there is none."""
+        """Reserves a backend server that no other crash or leave uses; None if all are in use."""
         free = [each['name'] for each in self.members if each['name'] not in self.used_members]
         name = self.random.choice(free) if free else None
         self.used_members.add(name)
@@ -245,7 +246,7 @@
             while self.processes[name].poll() is None and time.monotonic() < deadline:
                 await asyncio.sleep(0.05)
             if self.processes[name].poll() is None:
-                self.note(f'{name} did not end in its grace time')
+                self.note(f'{name} did not exit within its grace period')
                 self.signal(name, signal.SIGKILL)
             await asyncio.sleep(0.2)
             self.restart_ended()
@@ -269,10 +270,10 @@
             if name is None:
                 return
             await self.member(name, state=self.random.choice(['crashed', 'dark']))
-            self.note(f'backend server {name} lost')
+            self.note(f'backend server {name} is unavailable')
             await asyncio.sleep(self.random.uniform(1, 6))
             await self.member(name, state='running')
-            self.note(f'backend server {name} back')
+            self.note(f'backend server {name} runs again')
 
     async def isolate_member(self):
         name = self.random.choice(self.members)['name']
@@ -286,7 +287,7 @@
         for member in self.members:
             if member['group'] == group:
                 await self.member(member['name'], lag_ms=self.random.choice([300, 1000, 2500]))
-        self.note(f'{group} lags')
+        self.note(f'replicas of {group} lag')
         await asyncio.sleep(self.random.uniform(1, 4))
         for member in self.members:
             await self.member(member['name'], lag_ms=8)
@@ -295,17 +296,17 @@
         await self.member(self.random.choice(self.members)['name'], lose_answers=3)
 
     async def leave_member(self, seconds=3):
-        """A backend server says that it leaves, serves on and is replaced."""
+        """A backend server announces that it leaves, keeps serving, then crashes and restarts."""
         with self.member_for_fault() as name:
             if name is None:
                 return
             await self.member(name, leaving=True)
             begin = time.monotonic()
-            self.note(f'{name} leaves')
+            self.note(f'backend server {name} announces that it leaves')
             await asyncio.sleep(seconds)
             self.leaves.append((name, begin, time.monotonic()))
             await self.member(name, state='crashed', leaving=False)
-            self.note(f'{name} is gone')
+            self.note(f'backend server {name} crashed after it left')
             await asyncio.sleep(0.5)
             await self.member(name, state='running')
 
@@ -330,7 +331,7 @@
             await self.store(delay_ms=0, refused=[])
 
     async def turn_vms_away(self):
-        """The store turns some VMs away for long and serves the others."""
+        """The store refuses some VMs for 4 to 14 s and serves the others."""
         count = self.random.choice([2, self.vm_count // 2, self.vm_count - 1])
         await self.turn_away(count, self.random.uniform(4, 14))
 
@@ -344,7 +345,7 @@
         nets = [vm['net'] for vm in self.random.sample(self.vms, count)]
         with self.disturbed(nets):
             await self.store(refused=[net + '.1' for net in nets])
-            self.note(f'store turns away {nets}')
+            self.note(f'store refuses {nets}')
             await asyncio.sleep(seconds)
             await self.store(refused=[])
             self.note('store serves all VMs')
@@ -390,17 +391,17 @@
         self.note(f'reloaded {name}')
 
     async def inject(self):
-        """Five to nine faults, each at its own time; some follow one another at once."""
+        """Injects five to nine faults at random times; some runs repeat the first 1 s later."""
         kinds = [getattr(self, name) for name in self.faults]
         plan = [(self.random.uniform(2, LOAD_S - 3), self.random.choice(kinds))
                 for _ in range(self.random.randint(5, 9))]
-        if self.random.random() < 0.4:  # the same fault again, soon after
+        if self.random.random() < 0.4:  # repeats the first fault after 1 s
             plan.append((min(plan[0][0] + 1, LOAD_S - 3), plan[0][1]))
 
-        async def one(at, fault):
+        async def inject_at(at, fault):
             await asyncio.sleep(at)
             await fault()
-        await asyncio.gather(*(one(at, fault) for at, fault in plan))
+        await asyncio.gather(*(inject_at(at, fault) for at, fault in plan))
 
     async def heal(self):
         await self.link(dict(heal_all=True))
@@ -421,7 +422,7 @@
                 return await self.post(address, '/inspect')
             except OSError:
                 await asyncio.sleep(0.1)
-        raise RuntimeError(f'nothing listens on {address}')
+        raise RuntimeError(f'no stand-in answered on {address}')
 
     async def ready(self):
         for _ in range(100):
@@ -436,7 +437,7 @@
                 return
             except (OSError, asyncio.TimeoutError):
                 await asyncio.sleep(0.1)
-        raise RuntimeError('the VMs do not become ready')
+        raise RuntimeError('the VMs did not become ready in time')
 
     async def run(self):
         self.start_all()
@@ -472,7 +473,7 @@
         return problems, callers
 
     async def final_configuration(self, vms):
-        """Every VM serves the newest routes and refuses revoked keys."""
+        """Checks that every VM serves the newest route and refuses the last revoked key."""
         problems = []
         for address in vms:
             probes = [(host, self.keys['org-a'][0], True) for host in self.added[-1:]]
@@ -519,7 +520,7 @@
 
 
 def regression_runs():
-    """Seeds and faults of the list."""
+    """Seeds and sets of faults listed in soak-seeds.txt."""
     lines = (ROOT / 'tools' / 'soak-seeds.txt').read_text().splitlines()
     for line in lines:
         if line and not line.startswith('#'):
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -1,11 +1,11 @@
-"""Callers of the fault soak: SQL sessions whose statements and answers are kept for the judge."""
+"""Callers of the fault soak: SQL sessions that record statements and answers for the checker."""
 import asyncio
 import random
 import time
 
 ROUTES = ('orders', 'catalogue', 'stock')
 ITEMS = 40
-STATEMENT_S = 4      # a statement without an answer is given up; the route's limit is 2 s
+STATEMENT_S = 4      # a statement without an answer is abandoned; the route's timeout is 2 s
 PAUSE_S = (0.02, 0.5)
 
 
@@ -14,13 +14,13 @@
 
 
 class Caller:
-    """One caller; it has one session at a time, on any VM."""
+    """A caller that holds one session at a time, on a randomly chosen VM."""
 
     def __init__(self, number, vms, address, organisation, key, seed):
         self.number, self.vms, self.address = number, vms, address
         self.organisation, self.key = organisation, key
         self.random = random.Random(seed)
-        self.statements = {}   # id -> what was sent and answered
+        self.statements = {}   # id -> statement and its answer
         self.operations = []
         self.sequence, self.stopping = 0, False
         self.reader = self.writer = None
@@ -41,7 +41,7 @@
                 self.close()
 
     async def probe(self, route):
-        """Whether a read on a new session of @a route is served."""
+        """Whether a read on a new session of `route` succeeds."""
         try:
             await self.open(route)
             return (await self.query('READ probe', 0))['error'] == ''
@@ -95,7 +95,7 @@
                 return sent
 
     async def operate(self):
-        """One operation: a single statement or a transaction."""
+        """Runs one operation of a random kind: a statement, a SET and a read, or a transaction."""
         operation = dict(at=time.monotonic(), ok=False, organisation=self.organisation,
                          statements=[], error='no answer')
         self.operations.append(operation)
@@ -125,7 +125,7 @@
     async def read_with_value(self):
         name, value = self.random.choice(('zone', 'unit')), f'v{self.random.randrange(5)}'
         if (await self.query(f'SET {name} {value}', 0))['error']:
-            raise Ended('a value was refused')
+            raise Ended('SET was refused')
         self.values[name] = value
         return await self.read()
 
@@ -137,7 +137,7 @@
             prepared = await self.query(
                 f'PREPARE {name} {"WRITE" if writes else "READ"} {shape}', 0)
             if prepared['error']:
-                raise Ended('a preparation was refused')
+                raise Ended('PREPARE was refused')
             self.prepared[name] = shape
         arguments = self.writing() if self.prepared[name][0] == 'w' else self.item()
         return (await self.query(f'EXECUTE {name} {arguments}', 0))['error']
--- a/tools/soak_judge.py
+++ b/tools/soak_judge.py
@@ -1,12 +1,12 @@
-"""Judge of the fault soak: compares what callers got with what backend servers ran."""
+"""Checker of the fault soak: compares the answers of callers with what backend servers ran."""
 import bisect
 import collections
 
 PROMISES = ('BUSY', 'ABORTED', 'LAGGING', 'READONLY', 'MISROUTED', 'TOOMANY')
-QUOTA_WINDOW_S, QUOTA_OVERAGE, QUOTA_TOLERANCE = 5, 0.1, 20  # as the sites' bounds have them
+QUOTA_WINDOW_S, QUOTA_OVERAGE, QUOTA_TOLERANCE = 5, 0.1, 20  # bounds that the sites set
 STALENESS_S = {'orders': 0, 'catalogue': 1.5, 'stock': 2.5}
 SERVED_SHARE = 0.5   # of the operations within their limit, after all faults have ended
-DISTURBED_S = 0.5    # a VM counts as disturbed this long after a pause or a cut
+DISTURBED_S = 0.5    # after a pause or a cut ends, a VM counts as disturbed this long
 CONTACT_S, DRAIN_S = 4, 7  # `contact_timeout_ms`, `drain_timeout_ms`
 REPORT_S = 0.5       # the stand-in writes a changed registration within this time
 
@@ -17,12 +17,12 @@
 
 
 def unit_of(entry):
-    """What commits together: a transaction, or a statement of its own."""
+    """Key of the unit that commits atomically: a transaction, or a single statement."""
     return entry['session'], entry['transaction'] or entry['id']
 
 
 class Evidence:
-    """What callers and backend servers saw, indexed."""
+    """Statements of callers and runs on backend servers, indexed."""
 
     def __init__(self, callers, record, state):
         self.sent = {name: entry for caller in callers
@@ -45,13 +45,13 @@
                     self.places[name] = (entry['term'], entry['number'])
 
     def run_of(self, entry):
-        """The run whose answer the caller got."""
+        """The run whose answer the caller received, or None."""
         return next((run for run in self.by_id[entry['id']]
                      if not run['error'] and run['signature'] == entry['signature']), None)
 
 
 def plain(text):
-    """Text without the prepared name, which the proxy may change."""
+    """Text without the name of a prepared statement, which the proxy may change."""
     words = text.split(' ', 2)
     return f'EXECUTE {words[2]}' if words[0] == 'EXECUTE' else text
 
@@ -65,7 +65,7 @@
 
 
 def mixed(evidence):
-    """MIXED: success without the backend server's signature, or with other rows."""
+    """MIXED: a success without a backend server's signature, or with other rows."""
     for entry in evidence.sent.values():
         if entry['error'] == '' and works(entry) and entry['signature'] != '-':
             run = evidence.run_of(entry)
@@ -76,7 +76,7 @@
 
 
 def unasked(evidence):
-    """UNASKED: a statement that no caller sent, changed, or under another organisation."""
+    """UNASKED: a statement that no caller sent, a changed text, or the wrong organisation."""
     for run in evidence.runs:
         entry = evidence.sent.get(run['id'])
         if entry is None or plain(entry['text']) != plain(run['text']):
@@ -86,15 +86,16 @@
 
 
 def pinned(evidence):
-    """PINNED: transactions that share a connection or change it, foreign values or shapes."""
+    """PINNED: transactions that share or change a connection; session values or prepared statements
+    that are not the session's."""
     places, owners, first = {}, {}, {}
     for run in evidence.runs:
         entry = evidence.sent.get(run['id'])
         if entry is None or run['error'] or not works(entry):
             continue
-        # The first statement of a transaction whose answer was lost may run again in a new
-        # transaction: the lost connection has rolled the first one back (seed 3: the backend server
-        # crashed between the run and the answer; seed 104: it lost three answers).
+        # If the answer to the first statement of a transaction is lost, the statement may be
+        # retried in a new transaction, because losing the connection rolled the first one back.
+        # Seed 3: the server crashed between run and answer; seed 104: it lost three answers.
         opening = first.setdefault((entry['session'], entry['transaction']), entry['id'])
         answered = evidence.run_of(entry) if entry['error'] == '' else None
         if (entry['transaction'] > 0 and opening == entry['id']
@@ -114,7 +115,8 @@
 
 
 def commits(evidence):
-    """TWICE, REFUSED and LOST."""
+    """TWICE: a commit applied more than once. REFUSED: an effect after an error that rules it out.
+    LOST: an acknowledged write that is missing."""
     for name, count in evidence.kept.items():
         if count > 1:
             yield f'twice: {name} took effect {count} times'
@@ -133,7 +135,7 @@
 
 
 def stale(evidence):
-    """STALE: a read on a log without a commit that it had to show."""
+    """STALE: a read from a log that lacks a commit which the read had to reflect."""
     acknowledged = collections.defaultdict(list)   # group -> (time, place, session)
     group_of = {'orders': 'ledger', 'catalogue': 'ledger', 'stock': 'parts'}
     for entries in evidence.by_transaction.values():
@@ -169,7 +171,8 @@
 
 
 def one(evidence, events):
-    """ONE: fencing tokens, and acknowledgements by a replaced primary."""
+    """ONE: a fencing token with two holders, a token lower than an earlier one, or a write that a
+    primary acknowledged after its replacement."""
     holders, newest = {}, 0
     for call in evidence.promotions:
         head = {name.lower(): value.strip() for name, _, value in
@@ -190,14 +193,15 @@
                         if call['service'] == run['group'] and call['id'] != run['member']
                         and call.get('effective') and call['effective'] < run['at']
                         and position(run['position'])[0] < call['term']]
-            calm = all(not begin < run['at'] < end + DISTURBED_S
-                       for begin, end in zip(disturbed, ended + [float('inf')] * len(disturbed)))
-            if replaced and calm and entry['transaction'] == 0:
+            undisturbed = all(not begin < run['at'] < end + DISTURBED_S
+                              for begin, end in
+                              zip(disturbed, ended + [float('inf')] * len(disturbed)))
+            if replaced and undisturbed and entry['transaction'] == 0:
                 yield f'one: {name} acknowledged at {run["member"]} after {replaced[-1]["id"]} led'
 
 
 def quota(evidence, limits):
-    """QUOTA: operations of an organisation that ran in some window."""
+    """QUOTA: more operations of an organisation than its limit allows in a window of 5 s."""
     first = {}
     for operation in evidence.operations:
         times = [run['at'] for name in operation['statements'] for run in evidence.by_id[name]]
@@ -205,54 +209,56 @@
             first.setdefault(operation['organisation'], []).append(min(times))
     for organisation, times in first.items():
         limit = limits[organisation]
-        most = ((limit['rate_per_s'] * QUOTA_WINDOW_S + limit['burst']) * (1 + QUOTA_OVERAGE)
-                + QUOTA_TOLERANCE)
+        max_count = ((limit['rate_per_s'] * QUOTA_WINDOW_S + limit['burst']) * (1 + QUOTA_OVERAGE)
+                     + QUOTA_TOLERANCE)
         times.sort()
         for index, at in enumerate(times):
             count = bisect.bisect_right(times, at + QUOTA_WINDOW_S) - index
-            if count > most:
+            if count > max_count:
                 yield f'quota: {count} operations of {organisation} in {QUOTA_WINDOW_S} s'
                 break
 
 
 def drain(evidence, leaves, disturbances):
-    """DRAIN: new work at a backend server long after it has said that it leaves.
+    """DRAIN: new work at a backend server past the drain timeout after it announced its leave.
 
-    A VM that was disturbed a short time ago, or a store that was, does not count.
+    Work on VMs that were disturbed shortly before, or while the store was, is not checked.
     """
-    def calm(places, at):
+    def undisturbed(places, at):
         nets = {place.rpartition('.')[0] for place in places}
         return not any(begin < at < end + CONTACT_S and (net is None or net in nets)
                        for net, begin, end in disturbances)
 
-    opening = {}
+    first_runs = {}
     for run in sorted(evidence.runs, key=lambda each: each['at']):
         entry = evidence.sent.get(run['id'])
         if entry is None or not works(entry):
             continue
         unit = unit_of(entry)
-        first = opening.setdefault(unit, run['id']) == run['id']
+        first = first_runs.setdefault(unit, run['id']) == run['id']
         for member, begin, end in leaves if first else []:
             late = run['at'] - begin - REPORT_S - DRAIN_S
             if run['member'] != member or late < 0 or run['at'] > end:
                 continue
-            if calm((entry['vm'], run['from']), run['at']) and calm((), begin + REPORT_S):
+            if undisturbed((entry['vm'], run['from']), run['at']) and undisturbed(
+                    (), begin + REPORT_S):
                 yield (f'drain: {run["id"]} at {member} {late + DRAIN_S:.1f} s after it left, '
                        f'entry {entry["vm"]}, from {run["from"]}')
 
 
 def served(evidence, tail_from):
-    """Service after all faults have ended; the organisation above its limit does not count."""
-    owed = [each for each in evidence.operations
-            if each['at'] >= tail_from and each['organisation'] != 'org-hot']
-    done = sum(each['ok'] for each in owed)
-    if not owed or done < SERVED_SHARE * len(owed):
-        kinds = collections.Counter(each['error'] for each in owed)
-        yield f'served: {done} of {len(owed)} after all faults ended: {dict(kinds)}'
+    """SERVED: too few operations succeed after all faults have ended; the organisation that exceeds
+    its limit is not counted."""
+    counted = [each for each in evidence.operations
+               if each['at'] >= tail_from and each['organisation'] != 'org-hot']
+    done = sum(each['ok'] for each in counted)
+    if not counted or done < SERVED_SHARE * len(counted):
+        kinds = collections.Counter(each['error'] for each in counted)
+        yield f'served: {done} of {len(counted)} after all faults ended: {dict(kinds)}'
 
 
 def judge(callers, record, state, events, limits, tail_from, leaves, disturbances):
-    """Everything that must not happen, as text."""
+    """Returns a text for each violated guarantee."""
     evidence = Evidence(callers, record, state)
     found = []
     for check in (mixed(evidence), unasked(evidence), pinned(evidence), commits(evidence),
