--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,4 +1,4 @@
-"""Drives fleet.py from scripts: runs a load with faults at given times and reads its results."""
+"""Drives fleet.py from scripts: runs a load with timed faults and reads the results."""
 import argparse
 import json
 import pathlib
@@ -13,7 +13,7 @@
 
 
 class Bench:
-    """A fleet in a folder that is taken down at the end, also after an error."""
+    """Context manager that starts a fleet in a folder and stops it on exit, also after an error."""
 
     def __init__(self, folder, user='quetzal', vms=9, lag_ms=50, link=True, net=None,
                  build=ROOT / 'build'):
@@ -36,13 +36,13 @@
         self.fleet.down(None)
 
     def wait_until_ready(self, seconds=20):
-        """Waits until every VM has a configuration and every group a confirmed primary."""
+        """Waits until every VM has a configuration and confirmed terms for its servers."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if all(self.is_ready(vm) for vm in self.vms()):
                 return
             time.sleep(0.2)
-        sys.exit('the fleet is not ready; see the logs in ' + str(self.folder))
+        sys.exit('the fleet did not become ready in time; see the logs in ' + str(self.folder))
 
     def vms(self):
         return [name for name in self.fleet.state['processes'] if name.startswith('vm-')]
@@ -59,7 +59,7 @@
         return status['revision'] > 0 and all(entry['term_confirmed'] for entry in owned)
 
     def command(self, name, **options):
-        """A command of fleet.py, for example command('kill', process='vm-xela-1')."""
+        """Runs a command of fleet.py, for example command('kill', process='vm-xela-1')."""
         getattr(self.fleet, name.replace('-', '_'))(argparse.Namespace(command=name, **options))
 
     def store_fault(self, **fault):
@@ -69,9 +69,9 @@
         return fleet.get(self.fleet.process(name)['control'], '/inspect')
 
     def load(self, faults=(), **changes):
-        """Runs the load tool with changed settings; faults are (seconds after start, function).
+        """Runs the load tool with changed settings; each fault is (seconds after start, function).
 
-        Returns the results as the tool wrote them, with its exit status as 'exit_status'.
+        Returns the results that the tool wrote, with its exit status added as 'exit_status'.
         """
         settings = json.loads((self.folder / 'load.json').read_text())
         settings.update(changes)
--- a/tools/check-code.sh
+++ b/tools/check-code.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Formatter, layering, file sizes and, with --tidy, the linter. Expects a configured build folder.
+# Checks format, layering and file sizes and, with --tidy, runs the linter, which needs a
+# configured build folder.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
--- a/tools/check-layering.sh
+++ b/tools/check-layering.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The core does no I/O: fails when it includes a transport, socket or thread header or reads a clock.
+# Fails if the core, which does no I/O, includes a transport, socket, thread or file header, reads a
+# clock or uses a random device.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 core=(src/core include/jackdawvane)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Shows a small fleet under load and faults and prints the users' measures.
+"""Runs a small fleet under load with faults and prints the resulting measures.
 
 usage: tools/demo.py [--user quetzal|kyushu] [--seconds N]
 """
@@ -17,7 +17,7 @@
 
 
 def control(bench, *arguments, quiet=False):
-    """Runs the operator's command against the bench's store."""
+    """Runs jackdawvanectl against the store of the fleet."""
     command = [str(ROOT / 'build/jackdawvanectl'), '--store', bench.fleet.state['store'],
                *arguments]
     say('$ jackdawvanectl ' + ' '.join(arguments))
@@ -30,7 +30,7 @@
 
 
 def edit(bench):
-    """Adds a read-only route and a key while the fleet runs."""
+    """Adds a read-only route while the fleet runs."""
     user = bench.fleet.user
     change = bench.folder / 'change.json'
     change.write_text('// A route for look-ups that accepts data of up to 2 s of age.\n' + json.dumps({
@@ -81,7 +81,8 @@
                 bench.killed = [name for name in running if not bench.fleet.alive(name)]
 
             def restart():
-                # Two lost servers of three would leave the group without a majority.
+                # The cut that follows may hit another server of this group; two lost servers of
+                # three would leave it without a majority.
                 for name in bench.killed:
                     say(f'restarting {name}')
                     bench.command('restart', process=name)
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Installs, builds, starts stand-ins and a small fleet, edits the configuration, drives load while
-# a primary is killed and a failure domain is cut off, and prints the measures.
+# Installs the dependencies, builds, starts a small fleet with stand-ins for its environment, edits
+# the configuration, runs load while a primary is killed and a failure domain is cut off, and prints
+# the measures.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 case "${1:-}" in
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Starts a bench on loopback: stand-ins, network relay and entry daemons of one user.
+"""Runs a fleet on loopback: stand-ins, network relay and entry daemons of one user.
 
 usage: tools/fleet.py up FOLDER [--user quetzal|kyushu] [--vms N] [--lag-ms MS] [--no-link]
                                 [--no-daemons] [--build DIR] [--net 127.N]
@@ -7,12 +7,13 @@
        tools/fleet.py status FOLDER
        tools/fleet.py kill|restart|freeze|thaw|stop FOLDER PROCESS
        tools/fleet.py kill-primary FOLDER GROUP
-       tools/fleet.py cut|silence FOLDER PLACE PLACE      (* is every place but the clients)
+       tools/fleet.py cut|silence FOLDER PLACE PLACE      (* means every place except the clients)
        tools/fleet.py heal FOLDER
        tools/fleet.py fault FOLDER PROCESS JSON           (POST /fault of a stand-in)
 
-`up` writes all settings files into FOLDER, and load.json and direct.json for jackdawvane-load.
-Faults are posted as marks to a running jackdawvane-load, so that it measures the gap.
+`up` writes all settings files into FOLDER, including load.json and direct.json for
+jackdawvane-load. Each injected fault is also posted as a mark to a running jackdawvane-load, which
+measures the time without service that follows.
 """
 import argparse
 import hashlib
@@ -28,7 +29,7 @@
 
 CALLER_PORT, PEER_PORT, BACKEND_PORT, STORE_PORT = 7000, 7100, 7200, 7300
 CONTROL_PORT, LOAD_PORT = 7900, 7901
-RELAYED = 100  # added to the last number of an address for its relayed form
+RELAYED = 100  # added to the last octet of an address to get its relayed address
 USERS = {
     'quetzal': dict(
         net='127.1', route='orders', pool='repuestos-db', slots=3, connections=20, clients_ms=3,
@@ -40,14 +41,14 @@
         store_region='fukuoka',
         domains=[('hakata', 'fukuoka'), ('kokura', 'fukuoka'), ('sendai', 'kagoshima')]),
 }
-# Requests per second that the organisations' limits allow; a few are large.
+# Rate limits of the organisations in requests per second; a few are large.
 RATES = {'org-1': 60, 'org-2': 60, 'org-3': 30, 'org-4': 15, 'org-5': 15, 'org-6': 10,
          'org-7': 10, 'org-8': 10}
 OFFERED_SHARE = 0.7  # offered load as a share of the limit
 
 
 def post(address, target, body, timeout=5):
-    """POST of JSON to a control endpoint; the answer as JSON."""
+    """Posts JSON to a control endpoint and returns the decoded JSON answer."""
     request = urllib.request.Request(f'http://{address}{target}', json.dumps(body).encode())
     with urllib.request.urlopen(request, timeout=timeout) as answer:
         return json.loads(answer.read() or b'null')
@@ -59,7 +60,7 @@
 
 
 class Fleet:
-    """The processes of a bench; their description is kept in FOLDER/fleet.json."""
+    """The processes of a fleet; their description is kept in FOLDER/fleet.json."""
 
     def __init__(self, folder):
         self.folder = pathlib.Path(folder).resolve()
@@ -75,7 +76,7 @@
         return self.state['processes'][name]
 
     def alive(self, name):
-        """Whether the recorded id still belongs to the process that was started."""
+        """Whether the process runs; compares its command line in case the id was reused."""
         entry = self.process(name)
         try:
             command = pathlib.Path(f'/proc/{entry["pid"]}/cmdline').read_bytes()
@@ -93,7 +94,7 @@
 
     def signal(self, name, number):
         if not self.alive(name):
-            sys.exit(f'{name} does not run')
+            sys.exit(f'{name} is not running')
         os.kill(self.process(name)['pid'], number)
 
     def add(self, name, program, settings, control):
@@ -102,7 +103,7 @@
         self.state['processes'][name] = dict(program=str(self.build / program),
                                              settings=str(path), control=control, pid=0)
 
-    # -- description of the bench
+    # -- description of the fleet
 
     def describe(self, options):
         user = dict(USERS[options.user])
@@ -127,7 +128,7 @@
             self.add_link()
 
     def endpoint(self, place, host, port, **kinds):
-        """Real endpoint and the one that others use, which is relayed."""
+        """Returns the listen endpoint and the relayed one that other processes connect to."""
         real = f'{self.user["net"]}.{place}.{host}:{port}'
         if not self.link:
             return real, real
@@ -207,7 +208,7 @@
         answer = post(self.state['store'], '/store',
                       dict(operation='compare_and_swap', key='config', value=value))
         if answer.get('status') != 'ok':
-            sys.exit(f'the store refused the configuration: {answer}')
+            sys.exit(f'the store rejected the configuration: {answer}')
         entries = [dict(vm=vm['name'], peer=vm['peer'][1], caller=vm['caller'][1],
                         place=dict(region=vm['region'], failure_domain=vm['domain']))
                    for vm in self.vms]
@@ -234,7 +235,7 @@
 
     def up(self, options):
         if any(self.alive(name) for name in self.state.get('processes', {})):
-            sys.exit('this bench runs already; use down first')
+            sys.exit('this fleet is already running; stop it with down first')
         self.folder.mkdir(parents=True, exist_ok=True)
         for old in [*self.folder.glob('*.log'), *self.folder.glob('*.out')]:
             old.unlink()
@@ -261,11 +262,11 @@
                     break
                 except OSError:
                     if time.monotonic() > end or not self.alive(name):
-                        sys.exit(f'{name} does not answer; see {self.folder / name}.out')
+                        sys.exit(f'{name} did not answer; see {self.folder / name}.out')
                     time.sleep(0.05)
 
     def down(self, _options):
-        # The daemons stop first: a graceful stop returns shares to the store.
+        # The daemons stop before the store, because a graceful stop returns rate shares to it.
         names = self.state.get('processes', {})
         self.end([name for name in names if name.startswith('vm-')])
         self.end([name for name in names if not name.startswith('vm-')])
@@ -281,7 +282,7 @@
         for name in running:
             if self.alive(name):
                 self.signal(name, signal.SIGKILL)
-                print(f'{name} did not stop and was killed')
+                print(f'{name} did not stop within 10 s and was killed')
 
     def status(self, _options):
         for name, entry in self.state.get('processes', {}).items():
@@ -291,7 +292,7 @@
         try:
             post(self.state['load'], '/mark', dict(name=name, group=group), timeout=1)
         except OSError:
-            pass  # No load tool runs.
+            pass  # No load tool is running.
 
     def send(self, options, number):
         group = options.process.split('-')[0]
@@ -313,7 +314,7 @@
 
     def restart(self, options):
         if self.alive(options.process):
-            sys.exit(f'{options.process} runs')
+            sys.exit(f'{options.process} is already running')
         self.start(options.process)
         self.save()
 
@@ -366,7 +367,7 @@
             command.add_argument('--user', choices=USERS, default='quetzal')
             command.add_argument('--vms', type=int, default=9)
             command.add_argument('--lag-ms', type=int, default=50)
-            command.add_argument('--net', help='first two numbers of all addresses')
+            command.add_argument('--net', help='first two octets of all addresses')
             command.add_argument('--no-link', action='store_true')
             command.add_argument('--no-daemons', action='store_true')
             command.add_argument('--build', default=pathlib.Path(__file__).parent / '../build')
--- a/tools/measure-capacity.py
+++ b/tools/measure-capacity.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Measures what one entry daemon costs on loopback: connections, requests and store calls.
+"""Measures the resource use of entry daemons on loopback: connections, requests and store calls.
 
 usage: tools/measure-capacity.py connections|requests|store [--folder FOLDER] [--net 127.N]
                                  [--log-level LEVEL]
@@ -8,7 +8,7 @@
 requests     processor time of all daemons per request, at three request rates
 store        store calls per second and processor time without traffic, with 3, 6 and 9 VMs
 
-Runs in FOLDER with tools/fleet.py's bench of the first user, without the network relay. The
+Runs the fleet of tools/fleet.py for its default user in FOLDER, without the network relay. The
 number of connections stays within the hard limit of open files.
 """
 import argparse
@@ -23,16 +23,16 @@
 import fleet
 
 CONNECTIONS = (0, 500, 1000, 2000, 4000)
-SPARE_FILES = 200  # of this process, for everything but client connections
+SPARE_FILES = 200  # open files of this process that are not client connections
 OFFERED = (40, 150, 450)  # requests per second in all
 REQUEST_SECONDS = 20
 IDLE_SECONDS = 30
-SETTLING_SECONDS = 15  # leases are taken and shares distributed
+SETTLING_SECONDS = 15  # time in which leases are acquired and rate shares distributed
 TICKS = os.sysconf('SC_CLK_TCK')
 
 
 def raise_file_limit():
-    """Raises the soft limit to the hard one; daemons inherit it. Returns the limit."""
+    """Raises the soft limit of open files to the hard one and returns it; daemons inherit it."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     return hard
@@ -51,7 +51,7 @@
 
 
 def set_log_level(level):
-    """Starts the daemons with another log level than the bench's."""
+    """Overrides the log level in the settings of the daemons."""
     finish = fleet.Fleet.finish_vms
 
     def finish_with_level(described):
@@ -75,12 +75,12 @@
 
 
 def open_connection(address):
-    """A client connection that has had one answer, as idle keep-alive connections have."""
+    """Opens a client connection and reads one answer, as on an idle keep-alive connection."""
     host, port = address.split(':')
     opened = socket.create_connection((host, int(port)), timeout=10)
     opened.sendall(b'GET /healthz HTTP/1.1\r\nHost: bench\r\n\r\n')
     if not opened.recv(4096).startswith(b'HTTP/1.1 200'):
-        raise RuntimeError('the daemon refused a connection')
+        raise RuntimeError('the daemon did not answer GET /healthz with status 200')
     return opened
 
 
@@ -111,7 +111,7 @@
 def measure_requests(options):
     total = sum(fleet.RATES.values())
     limits = dict(fleet.RATES)
-    # The limits of the organisations are not what is measured here.
+    # Raises the organisations' rate limits, so that they don't affect the measurement.
     for name in fleet.RATES:
         fleet.RATES[name] = limits[name] * 10
     with bench.Bench(options.folder, vms=3, link=False, net=options.net) as running:
@@ -160,7 +160,7 @@
     parser.add_argument('what', choices=kinds)
     parser.add_argument('--folder')
     parser.add_argument('--net', default='127.5')
-    parser.add_argument('--log-level', default='info', help='of the daemons')
+    parser.add_argument('--log-level', default='info', help='log level of the daemons')
     options = parser.parse_args()
     set_log_level(options.log_level)
     with tempfile.TemporaryDirectory() as scratch:
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Measures the figures that the design aims at, on fresh fleets on loopback.
+"""Measures the figures for which the design has targets, on newly started fleets on loopback.
 
 usage: tools/measure.py failover|overhead|replicas|configuration|keys|overload|control
                         [--json FILE] [--user quetzal|kyushu] [--net 127.N] [--build DIR]
@@ -33,7 +33,7 @@
 
 
 def summary(samples):
-    """Median, 95th percentile, worst and count of numbers; None stands for one that never came."""
+    """Median, 95th percentile, worst and count of samples; None is an event that did not occur."""
     known = sorted(sample for sample in samples if sample is not None)
     result = dict(count=len(samples), never=len(samples) - len(known))
     if known:
@@ -65,12 +65,13 @@
 
 FAULT_EVERY_S, UNDO_AFTER_S, FIRST_FAULT_S = 5, 3, 3
 FAULTS_PER_RUN = 8
-# With the usual tenth, the next order of a group is due only 200 ms after the fault on average.
+# With the default write share of 0.1, the next order of a group would be due only 200 ms after the
+# fault on average.
 FAILOVER_WRITE_SHARE = 0.3
 
 
 def primaries(bench):
-    """Group -> backend server with the highest accepted term among the reachable primaries."""
+    """Maps each group to the running primary with the highest accepted term."""
     found = {}
     for name in bench.fleet.state['processes']:
         if not re.match(r'g\d-', name) or not bench.fleet.alive(name):
@@ -83,7 +84,7 @@
 
 
 class FaultSeries:
-    """Alternating kills and cuts of one load run, with the groups that each hits."""
+    """Alternating kills and cuts in one load run, with the groups whose primaries they hit."""
 
     def __init__(self, bench, first_group):
         self.bench, self.first_group, self.done, self.killed = bench, first_group, [], None
@@ -99,7 +100,7 @@
         return times
 
     def target(self, number):
-        """The group to hit, or the next one that has a primary."""
+        """Returns the group to hit, or the next one that has a primary, and all primaries."""
         found = primaries(self.bench)
         for step in range(3):
             group = f'g{(self.first_group + number + step) % 3 + 1}'
@@ -132,7 +133,7 @@
 
 
 def gap_samples(series, results):
-    """One gap for each group whose primary a fault hit."""
+    """Yields one gap for each group whose primary was affected by a fault."""
     for fault, mark in zip(series.done, results['faults'], strict=True):
         for group in fault['groups']:
             yield dict(fault, group=group, gap_ms=mark['gap_ms'].get(group))
@@ -162,7 +163,7 @@
 
 
 def keep_logs(options, folder, name):
-    """Copies the daemons' logs, so that a slow sample can be explained after the run."""
+    """Copies the daemons' logs, so that slow samples can be analysed after the run."""
     if options.logs is None:
         return
     target = pathlib.Path(options.logs) / name
@@ -198,12 +199,13 @@
 # -- overhead
 
 def unlimited_key(bench):
-    """Key of a new organisation whose rate no measure reaches: waiting for tokens is no overhead."""
+    """Creates an organisation with a rate above any measured load, since waiting for tokens is no
+    overhead of the proxy, and returns a key of it."""
     rate = bench.folder / 'rate.json'
     rate.write_text('{"organisations": {"callers": {"rate": 90000, "burst": 90000, "weight": 1}}}')
     control_command(bench, 'apply', str(rate))
     output, _started, _ended = control_command(bench, 'key', 'give', 'callers')
-    time.sleep(3)  # Its shares are divided and filled.
+    time.sleep(3)  # The VMs divide its rate and fill their token buckets.
     return re.search(r'^key (\S+)', output, re.MULTILINE).group(1)
 
 
@@ -226,7 +228,7 @@
             key = unlimited_key(bench)
             trial = direct(bench, key, 'g1-' + any_vm.split('-', 1)[1][:-2], any_vm, 50)
             backend = max(trial['served_by'], key=trial['served_by'].get)
-            # The nearest replica of an entry in the backend server's own domain is this server.
+            # An entry in the failure domain of this backend server has it as its nearest replica.
             entries = [vm for vm in bench.vms() if vm[3:-2] == backend.split('-', 1)[1]]
             owner = bench.status_of(any_vm)['owners'][backend]
             other = next(vm for vm in entries if vm != owner)
@@ -269,7 +271,7 @@
 # -- configuration and keys
 
 def control_command(bench, *arguments):
-    """Runs jackdawvanectl on the store; its output and the instants of its start and end."""
+    """Runs jackdawvanectl on the store; returns its output and its start and end times."""
     command = [str(bench.build / 'jackdawvanectl'), '--store', bench.fleet.state['store'],
                '--operator', 'measure', *arguments]
     started = time.monotonic()
@@ -285,7 +287,7 @@
 
 
 class RevisionWatch:
-    """Asks every VM for its status every 20 ms and notes when it applied a revision."""
+    """Polls the status of every VM every 20 ms and records when it applied each revision."""
 
     PERIOD_S = 0.02
 
@@ -323,7 +325,7 @@
             return next((at for seen, at in self.seen.get(vm, []) if seen >= revision), None)
 
     def wait(self, revision, seconds=4):
-        """Instants per VM at which the revision was in force; None where it was not in time."""
+        """Time at which each VM had applied the revision; None where it did not in time."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             instants = {vm: self.instant(vm, revision) for vm in self.bench.vms()}
@@ -352,7 +354,8 @@
 
 
 def timed_edit(bench, watch, number, inject, undo):
-    """Milliseconds from the start and from the end of the command until in force everywhere."""
+    """Milliseconds from the start and from the end of the command until every VM applied the edit;
+    with the VMs that did not."""
     output, started, ended = control_command(bench, 'apply', edit_file(bench, number))
     inject(bench)
     instants = watch.wait(accepted_revision(output))
@@ -364,13 +367,14 @@
 
 
 def edit_series(options, name, inject, undo):
-    """Edits on a fresh fleet, so that a fault of another kind has no effect on them."""
+    """Runs edits on a new fleet, so that they are not affected by faults of another kind."""
     found = []
     with tempfile.TemporaryDirectory(prefix='jackdawvane-') as folder:
         with new_bench(options, folder) as bench, RevisionWatch(bench) as watch:
             for number in range(1, (options.count or 20) + 1):
                 found.append(timed_edit(bench, watch, number, inject, undo))
-                # Callers of the store come back after a fault; edits are not in step with them.
+                # Lets the VMs reconnect to the store after a fault. The varying pause keeps the
+                # edits out of phase with their periodic calls.
                 time.sleep(0.7 + 0.05 * (number % 10))
         keep_logs(options, folder, 'configuration-' + name.replace(' ', '-'))
     return found
@@ -391,7 +395,7 @@
 
 
 class KeyUser:
-    """Sends reads with one key on a kept connection and notes the last that the key let through."""
+    """Sends reads with one key on a persistent connection and records when it was last accepted."""
 
     PERIOD_S = 0.02
 
@@ -417,7 +421,7 @@
             found = self.ask()
             now = time.monotonic()
             self.statuses[str(found)] = self.statuses.get(str(found), 0) + 1
-            # A refusal for another reason than the key counts as served, to be on the safe side.
+            # A refusal for another reason counts as served, so that the time is an upper bound.
             if found[0] not in (401, 403):
                 self.last_served = now
             elif self.first_refused is None and self.last_served:
@@ -466,11 +470,12 @@
 # -- overload
 
 OVERLOADED, OVERLOAD = 'org-1', 5
-UNEVEN = [8, 4, 2, 1, 1, 1, 0.5, 0.25, 0.25]  # spread of each organisation's callers over the VMs
+UNEVEN = [8, 4, 2, 1, 1, 1, 0.5, 0.25, 0.25]  # weights of the VMs among an organisation's callers
 
 
 def overload_organisations(bench, factor, uneven):
-    """The bench's organisations, with the first at a multiple of its rate and uneven callers."""
+    """Organisations of the load settings, with `org-1` at `factor` times its rate if not 0 and, if
+    `uneven`, with callers spread unevenly over the VMs."""
     found = json.loads((bench.folder / 'load.json').read_text())['organisations']
     for number, each in enumerate(found):
         if each['id'] == OVERLOADED and factor:
@@ -546,7 +551,7 @@
 
 
 def family_rates(before, after, seconds):
-    """Rates of all byte counters, as series name -> bytes per second."""
+    """Maps each series that counts bytes to its rate in bytes per second."""
     return {name: (value - before.get(name, 0)) / seconds for name, value in after.items()
             if 'bytes' in name and 'resident' not in name}
 
@@ -605,7 +610,7 @@
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--count', type=int)
     parser.add_argument('--seconds', type=int)
-    parser.add_argument('--logs', help='folder that gets the logs of the daemons')
+    parser.add_argument('--logs', help='folder to copy the logs of the daemons into')
     options = parser.parse_args()
     load_before = os.getloadavg()
     started = time.monotonic()
--- a/tools/mutation-check.py
+++ b/tools/mutation-check.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Shows that each guarantee's test fails without its mechanism.
+"""Verifies that the test of each guarantee fails when the mechanism behind it is disabled.
 
 Reads tests/mutations/*.json. Each entry disables one mechanism by a text replacement in a copy of
 the sources, builds the named test there and expects it to fail. An entry whose text is not found,
@@ -15,7 +15,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 WORK = ROOT / "build-mutation"
-PARALLEL_JOBS = "4"  # Most entries change one file; more jobs only slow others down.
+PARALLEL_JOBS = "4"  # Most entries change one file, so more jobs would only take cores from others.
 TEST_SECONDS = 300
 SOURCES = ["CMakeLists.txt", "include", "platform", "src", "tests"]
 
@@ -29,7 +29,7 @@
     for name in SOURCES:
         source, target = ROOT / name, tree / name
         target.parent.mkdir(parents=True, exist_ok=True)
-        # rsync-like copy that keeps the times of unchanged files, so that ninja rebuilds little.
+        # Keeps the times of unchanged files, so that ninja rebuilds only what changed.
         if source.is_dir():
             shutil.copytree(source, target, dirs_exist_ok=True, copy_function=copy_if_changed)
         else:
@@ -50,7 +50,7 @@
 
 
 def run_test(entry):
-    """Result of the entry's test, or None when it does not end."""
+    """Runs the entry's test; returns its result, or None if it timed out."""
     binary = WORK / "build" / "tests" / entry["target"]
     try:
         return run([str(binary), "--gtest_filter=" + entry["filter"]], timeout=TEST_SECONDS)
@@ -59,7 +59,8 @@
 
 
 def failing_unchanged(entries):
-    """Names of the entries whose test fails with its mechanism, which would prove nothing."""
+    """Names of the entries whose test fails on the unchanged sources, so that a failure with the
+    mechanism disabled would prove nothing."""
     built = build(sorted({entry["target"] for entry in entries}))
     if built.returncode != 0:
         sys.exit("build failed:\n" + built.stdout[-2000:])
--- a/tools/process-test.py
+++ b/tools/process-test.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Faults against the real binaries, with checks of the outcomes that must always hold.
+"""Runs the real binaries under faults and checks the guarantees that must always hold.
 
-Each case runs a load against a fresh fleet on loopback while a fault comes and goes. It fails when
-an acknowledged order is missing or doubled, an order marked "not run" ran, a session read an older
-state than it had seen, a caller got a foreign or partial answer, statements of two transactions
-shared a connection, a backend server counted more connections than its limit, a backend server
-received a caller's key, or no order was acknowledged after the fault. Times are not asserted.
+Each case runs load against a new fleet on loopback and injects and removes a fault. It fails when
+an acknowledged order is missing or ran twice, an order marked "not run" ran, a session read an
+older state than it had seen, a caller got the answer to another request or a partial one,
+statements of two transactions shared a connection, a backend server counted more connections than
+its limit, a backend server received a caller's key, or no order was acknowledged after the fault.
+Times are not asserted.
 
 usage: tools/process-test.py [CASE...]
 """
@@ -115,7 +116,7 @@
 
 
 def problems_of(bench, results):
-    """Everything that must not happen, as text."""
+    """Returns a text for each violated guarantee."""
     found = []
     if results['violations']:
         found.append(f'violations: {results["violations"]}')
@@ -127,7 +128,7 @@
     limit = bench.fleet.user['connections']
     for name, seen in results['backends'].items():
         if not isinstance(seen, dict):
-            continue  # Killed by the fault.
+            continue  # The server was killed by the fault and has no counts.
         if seen['interleavings'] or seen['names_run_twice']:
             found.append(f'{name}: {seen}')
         if seen['highest_connections'] > limit or seen['refused_connections']:
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -20,7 +20,7 @@
 ctest --test-dir build --output-on-failure --no-tests=error -j "$(nproc)" "${exclude[@]}"
 echo '[5/7] faults against the real binaries'
 tools/process-test.py
-echo '[6/7] fault soak of jackdawvane-entry, seeds that failed once'
+echo '[6/7] fault soak of jackdawvane-entry, regression seeds'
 tools/soak.py --jobs 2 --regression
 echo '[7/7] tests with address and undefined behaviour sanitizers'
 cmake -S . -B build-sanitize -G Ninja -DJACKDAWVANE_SANITIZE=ON -DCMAKE_BUILD_TYPE=Debug >/dev/null
