--- a/src/standins/common/http_client.cpp
+++ b/src/standins/common/http_client.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::uint64_t answer_timeout = std::uint64_t{256} * 1024 * 1024; // bytes
+constexpr std::uint64_t max_response_bytes = std::uint64_t{256} * 1024 * 1024; // bytes
 
 Json::Value body_json(const std::optional<http_reply>& reply) {
     if (!reply) {
@@ -65,7 +65,7 @@
     stream_->expires_after(timeout);
     co_await http::async_write(*stream_, message, returning(failed));
     http::response_parser<http::string_body> parser;
-    parser.body_limit(answer_timeout);
+    parser.body_limit(max_response_bytes);
     if (!failed) {
         co_await http::async_read(*stream_, buffer_, parser, returning(failed));
     }
--- a/src/standins/common/http_client.hpp
+++ b/src/standins/common/http_client.hpp
@@ -14,30 +14,30 @@
 
 namespace jackdawvane::standin {
 
-/// @brief One keep-alive HTTP/1.1 connection, opened when first used and after a failure.
+/// @brief Keep-alive HTTP/1.1 connection that is opened on first use and reopened after a failure.
 class http_client {
   public:
     using header_fields = std::map<std::string, std::string>;
 
-    /// @param local address that outgoing connections are bound to; empty for any
+    /// @param local local address that the connection is bound to; empty for any
     http_client(asio::io_context& io, endpoint remote, std::string local);
 
-    /// @brief Sends a request and reads the answer.
-    /// @return the answer, or nothing when the connection failed or @a timeout passed
+    /// @brief Sends a request and reads the response.
+    /// @param timeout bound of the exchange; opening the connection has the same bound of its own
+    /// @return the response, or nothing after a connection failure or a timeout
     awaitable<std::optional<http_reply>> request(std::string method, std::string target,
                                                  std::string body, milliseconds timeout,
                                                  header_fields fields = {});
-    /// @brief POST of @a json; the answer's body as JSON, null when there is none.
+    /// @brief Sends a POST of @a json; returns the response body as JSON, null without a response.
     awaitable<Json::Value> post(std::string target, Json::Value json, milliseconds timeout);
-    /// @brief GET of @a target; the answer's body as JSON, null when there is none.
+    /// @brief Sends a GET; returns the response body as JSON, null without a response.
     awaitable<Json::Value> get(std::string target, milliseconds timeout);
 
-    /// @brief Whether the connection is open.
     [[nodiscard]] bool is_open() const noexcept { return stream_.has_value(); }
     [[nodiscard]] const endpoint& remote() const noexcept { return remote_; }
     /// @brief Closes the connection; the next request opens a new one.
     void close() noexcept { stream_.reset(); }
-    /// @brief Fails the request under way, if there is one.
+    /// @brief Cancels the request in flight, if any; it returns nothing.
     void cancel() {
         if (stream_) {
             stream_->cancel();
--- a/src/standins/common/http_server.cpp
+++ b/src/standins/common/http_server.cpp
@@ -34,13 +34,13 @@
 }
 
 http_server::http_server(asio::io_context& io, const endpoint& listen, handler handle,
-                         close_handler closed)
-    : io_{io}, acceptor_{io}, local_{listen}, handle_{std::move(handle)}, closed_{
-                                                                              std::move(closed)} {
-    open();
+                         close_handler on_close)
+    : io_{io}, acceptor_{io}, local_{listen}, handle_{std::move(handle)}, on_close_{
+                                                                              std::move(on_close)} {
+    start_listening();
 }
 
-void http_server::open() {
+void http_server::start_listening() {
     const tcp::endpoint address{asio::ip::make_address(local_.address), local_.port};
     acceptor_ = tcp::acceptor{io_, address, true};
     local_.port = acceptor_.local_endpoint().port();
@@ -52,21 +52,21 @@
     auto timer = std::make_shared<asio::steady_timer>(io_, time);
     timer->async_wait([this, timer](const error_code&) {
         if (!acceptor_.is_open()) {
-            open();
+            start_listening();
         }
     });
 }
 
-void http_server::silence(std::uint64_t kept) {
-    for (const auto& [id, connection] : open_) {
-        connection->silent = connection->silent || id != kept;
+void http_server::silence(std::uint64_t excluded) {
+    for (const auto& [id, connection] : connections_) {
+        connection->silent = connection->silent || id != excluded;
     }
 }
 
 void http_server::stop() {
     error_code ignored;
     acceptor_.close(ignored);
-    for (const auto& [id, connection] : open_) {
+    for (const auto& [id, connection] : connections_) {
         connection->socket.close(ignored);
     }
 }
@@ -85,30 +85,31 @@
         const auto id = ++last_id_;
         auto connection =
             std::make_shared<http_connection>(http_connection{id, std::move(socket), {}, {}, {}});
-        open_.emplace(id, connection);
+        connections_.emplace(id, connection);
         asio::co_spawn(io_, serve(std::move(connection)), asio::detached);
     }
 }
 
 void http_server::close(const connection_ptr& connection) {
-    if (open_.erase(connection->id) == 0) {
+    if (connections_.erase(connection->id) == 0) {
         return;
     }
     connection->closed = true;
-    if (closed_) {
-        closed_(connection->id);
+    if (on_close_) {
+        on_close_(connection->id);
     }
 }
 
-// Tells a close while a handler is busy, so that a transaction is rolled back at once.
-void http_server::watch(const connection_ptr& connection) {
-    if (connection->watched) {
+// Detects a close by the peer while a handler is running, so that an open transaction is rolled
+// back immediately.
+void http_server::watch_for_close(const connection_ptr& connection) {
+    if (connection->watching_for_close) {
         return;
     }
-    connection->watched = true;
+    connection->watching_for_close = true;
     connection->socket.async_wait(tcp::socket::wait_read, [this,
                                                            connection](const error_code& failed) {
-        connection->watched = false;
+        connection->watching_for_close = false;
         if (failed) {
             return;
         }
@@ -122,7 +123,7 @@
     });
 }
 
-awaitable<void> http_server::discard(connection_ptr connection) {
+awaitable<void> http_server::discard_input(connection_ptr connection) {
     std::string sink(4096, '\0');
     for (error_code failed; !failed;) {
         co_await connection->socket.async_read_some(asio::buffer(sink), returning(failed));
@@ -139,17 +140,17 @@
         co_return false;
     }
     if (connection->silent) {
-        co_await discard(connection);
+        co_await discard_input(connection);
         co_return false;
     }
     auto message = parser.release();
     http_request request{
         std::string{message.method_string()}, std::string{message.target()}, {}, raw_text(message)};
     request.body = std::move(message.body());
-    watch(connection);
+    watch_for_close(connection);
     auto reply = co_await handle_(connection, request);
     if (connection->silent || reply.dropped) {
-        co_await discard(connection);
+        co_await discard_input(connection);
         co_return false;
     }
     http::response<http::string_body> response{http::int_to_status(reply.status), 11};
--- a/src/standins/common/http_server.hpp
+++ b/src/standins/common/http_server.hpp
@@ -13,7 +13,7 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Request as a stand-in sees it.
+/// @brief HTTP request received by a stand-in.
 struct http_request {
     std::string method;
     std::string target;
@@ -21,20 +21,20 @@
     std::string raw; ///< Request line, header fields and body, for recording.
 };
 
-/// @brief Answer of a stand-in.
+/// @brief HTTP response of a stand-in.
 struct http_reply {
     unsigned status{200};
     std::string body;
-    bool dropped{false}; ///< Send nothing; the connection stays open and goes silent.
+    bool dropped{false}; ///< Sends no response; the connection stays open but unresponsive.
 };
 
 /// @brief One accepted connection.
 struct http_connection {
     std::uint64_t id{0};
     tcp::socket socket;
-    bool silent{false}; ///< Delivers nothing any more, in both directions.
-    bool closed{false}; ///< The other side has closed it.
-    bool watched{false};
+    bool silent{false};             ///< Input is discarded and nothing more is sent.
+    bool closed{false};             ///< The peer has closed it.
+    bool watching_for_close{false}; ///< A wait for a close by the peer is pending.
 };
 
 /// @brief HTTP/1.1 server with one coroutine per keep-alive connection.
@@ -44,42 +44,43 @@
     using handler = std::function<awaitable<http_reply>(connection_ptr, const http_request&)>;
     using close_handler = std::function<void(std::uint64_t connection)>;
 
-    /// @brief Listens on @a listen; port 0 takes a free one.
+    /// @brief Listens on @a listen; port 0 selects a free port.
+    /// @param on_close called with the connection's id when a connection is closed
     /// @throws boost::system::system_error when the address is in use
     http_server(asio::io_context& io, const endpoint& listen, handler handle,
-                close_handler closed = {});
+                close_handler on_close = {});
 
-    /// @brief Address that it listens on.
+    /// @brief Listening address with the actual port.
     [[nodiscard]] const endpoint& local() const noexcept { return local_; }
     /// @brief Refuses new connections for @a time.
     void refuse_for(milliseconds time);
-    /// @brief All open connections but @a kept deliver nothing from now on.
-    void silence(std::uint64_t kept);
+    /// @brief Makes all open connections but @a excluded unresponsive without closing them.
+    void silence(std::uint64_t excluded);
     /// @brief Closes all connections and the listening socket.
     void stop();
 
   private:
-    void open();
+    void start_listening();
     void close(const connection_ptr& connection);
-    void watch(const connection_ptr& connection);
+    void watch_for_close(const connection_ptr& connection);
     awaitable<void> accept();
     awaitable<void> serve(connection_ptr connection);
     awaitable<bool> exchange(connection_ptr connection, std::string& pending);
-    static awaitable<void> discard(connection_ptr connection);
+    static awaitable<void> discard_input(connection_ptr connection);
 
     asio::io_context& io_;
     tcp::acceptor acceptor_;
     endpoint local_;
     handler handle_;
-    close_handler closed_;
+    close_handler on_close_;
     std::uint64_t last_id_{0};
-    std::map<std::uint64_t, connection_ptr> open_;
+    std::map<std::uint64_t, connection_ptr> connections_;
 };
 
-/// @brief Answer with @a json as its body.
+/// @brief Response with @a json as its body.
 [[nodiscard]] http_reply json_reply(const Json::Value& json, unsigned status = 200);
 
-/// @brief Answer that reports the mistake @a message.
+/// @brief Response with the error @a message as its body.
 [[nodiscard]] http_reply error_reply(unsigned status, const std::string& message);
 
 } // namespace jackdawvane::standin
--- a/src/standins/common/notifier.hpp
+++ b/src/standins/common/notifier.hpp
@@ -7,14 +7,14 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Wakes all coroutines that wait for a change of some state.
+/// @brief Condition variable for coroutines: wakes all that wait for a change of state.
 class notifier {
   public:
     explicit notifier(asio::io_context& io) : io_{&io} {}
 
     /// @brief Returns after the next @ref notify or at @a deadline.
     awaitable<void> wait_until(steady_clock::time_point deadline) {
-        // The waiter owns its timer, so a destroyed notifier leaves nothing behind.
+        // The waiter owns its timer, so the notifier may be destroyed while coroutines wait.
         auto timer = std::make_shared<asio::steady_timer>(*io_, deadline);
         waiting_.push_back(timer);
         error_code ignored;
@@ -36,12 +36,12 @@
     std::vector<std::weak_ptr<asio::steady_timer>> waiting_;
 };
 
-/// @brief Counting semaphore for coroutines, first come first served.
+/// @brief Counting semaphore for coroutines that serves waiters in FIFO order.
 class semaphore {
   public:
     semaphore(asio::io_context& io, std::size_t count) : free_{count}, changed_{io} {}
 
-    /// @brief Takes one unit, waiting for it if need be.
+    /// @brief Acquires one unit; waits until one is free.
     awaitable<void> acquire() {
         const auto ticket = next_ticket_++;
         while (free_ == 0 || ticket != next_served_) {
@@ -54,7 +54,6 @@
         }
     }
 
-    /// @brief Gives one unit back.
     void release() {
         ++free_;
         changed_.notify();
--- a/src/standins/common/program.hpp
+++ b/src/standins/common/program.hpp
@@ -17,7 +17,7 @@
 inline constexpr const char* version_text = "jackdawvane 0.1.0";
 
 /// @brief Parses @a text (JSON with comments) as @a Settings.
-/// @throws std::runtime_error that names the wrong key
+/// @throws std::runtime_error that names the invalid key
 template <class Settings>
 [[nodiscard]] Settings parse_settings(const std::string& text) {
     const auto json = parse_json(text);
@@ -32,7 +32,7 @@
 }
 
 /// @brief Reads @a Settings from the file @a path.
-/// @throws std::runtime_error when it cannot be read or a key is wrong
+/// @throws std::runtime_error when the file cannot be read or a key is invalid
 template <class Settings>
 [[nodiscard]] Settings read_settings(const std::string& path) {
     std::ifstream file{path};
@@ -51,7 +51,7 @@
     io.run();
 }
 
-/// @brief Runs @a body and turns an exception into an exit status with a message.
+/// @brief Runs @a body; prints an exception to standard error and returns exit status 1.
 template <class Body>
 int guarded_main(const char* name, Body&& body) {
     try {
@@ -62,7 +62,8 @@
     }
 }
 
-/// @brief Main function of a program that serves as its settings file says until a signal.
+/// @brief Main function of a program that runs a @a Server configured by a settings file until
+/// SIGINT or SIGTERM.
 /// @param usage docopt text with the option `--settings FILE`
 template <class Settings, class Server>
 int serve_settings_file(const char* name, const char* usage, int argc, char** argv) {
