--- a/src/standins/jackdawvane-backend/backend_server.cpp
+++ b/src/standins/jackdawvane-backend/backend_server.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-constexpr milliseconds longest_wait{30'000};
+constexpr milliseconds max_wait{30'000};
 constexpr milliseconds pull_wait{200};
-// Longer than the held answer, so that a silent connection to the primary is given up soon.
+// Longer than `pull_wait`, for which the primary may hold an answer, but short enough to detect an
+// unresponsive primary soon.
 constexpr milliseconds pull_timeout{600};
 constexpr milliseconds pull_retry{20};
 
-steady_clock::time_point after_wait(duration wait) {
-    return steady_clock::now() + std::min<microseconds>(wait, longest_wait);
+steady_clock::time_point wait_deadline(duration wait) {
+    return steady_clock::now() + std::min<microseconds>(wait, max_wait);
 }
 
 error no_transaction() {
@@ -26,8 +27,8 @@
 } // namespace
 
 backend_server::backend_server(asio::io_context& io, backend_settings settings)
-    : io_{io}, settings_{std::move(settings)}, changed_{io}, thawed_{io},
-      slots_{io, settings_.slots}, lag_{milliseconds{settings_.lag_ms}},
+    : io_{io}, settings_{std::move(settings)}, changed_{io},
+      freeze_changed_{io}, slots_{io, settings_.slots}, lag_{milliseconds{settings_.lag_ms}},
       server_{io, settings_.listen,
               [this](connection_ptr connection, const http_request& request) {
                   return handle(std::move(connection), request);
@@ -45,7 +46,7 @@
     }
     std::ifstream recorded{settings_.data_file};
     for (std::string line; std::getline(recorded, line);) {
-        // A process that was killed can leave a partial last line.
+        // A process that was killed can leave an incomplete last line, which is skipped.
         if (const auto change = parse_json(line)) {
             database_->replay(change.value());
         }
@@ -78,9 +79,9 @@
     return status;
 }
 
-awaitable<void> backend_server::thaw() {
+awaitable<void> backend_server::wait_while_frozen() {
     while (steady_clock::now() < frozen_until_) {
-        co_await thawed_.wait_until(frozen_until_);
+        co_await freeze_changed_.wait_until(frozen_until_);
     }
 }
 
@@ -98,7 +99,7 @@
     if (request.target.starts_with("/inspect")) {
         co_return inspect(request);
     }
-    co_await thaw();
+    co_await wait_while_frozen();
     record(request.raw);
     if (request.target == "/connect") {
         co_return co_await connect(std::move(connection));
@@ -117,11 +118,11 @@
         ++refused_connections_;
         co_return error_reply(503, "the connection limit is reached");
     }
-    // Counted from here, so that connections that open at the same time keep the limit.
+    // Counted before the delay, so that concurrent connects cannot exceed the limit.
     sessions_.try_emplace(connection->id, std::make_shared<client_session>());
     highest_connections_ = std::max<std::uint64_t>(highest_connections_, sessions_.size());
     co_await sleep_for(milliseconds{settings_.connect_ms});
-    co_await thaw();
+    co_await wait_while_frozen();
     co_return json_reply(to_json(status()));
 }
 
@@ -143,7 +144,7 @@
                                                   const http_request& request) {
     const auto found = sessions_.find(connection->id);
     if (found == sessions_.end()) {
-        co_return error_reply(400, "POST /connect first");
+        co_return error_reply(400, "this connection has no session; send POST /connect first");
     }
     const auto session = found->second;
     const auto json = parse_json(request.body);
@@ -158,11 +159,11 @@
     if (answer_delay_.count() > 0) {
         co_await sleep_for(answer_delay_);
     }
-    co_await thaw();
+    co_await wait_while_frozen();
     answer.status = status();
     auto text = write_json(to_json(answer));
-    if (crossed_ > 0 && !previous_answer_.empty()) {
-        --crossed_;
+    if (crossed_answers_left_ > 0 && !previous_answer_.empty()) {
+        --crossed_answers_left_;
         std::swap(text, previous_answer_);
     } else {
         previous_answer_ = text;
@@ -173,7 +174,7 @@
 awaitable<void> backend_server::answer_status(session_ptr /*session*/,
                                               const backend_request& request,
                                               backend_answer& /*answer*/) {
-    const auto deadline = after_wait(request.wait);
+    const auto deadline = wait_deadline(request.wait);
     const auto role = database_->role();
     const auto accepted = database_->accepted_term();
     while (database_->log().last() <= request.after && database_->role() == role &&
@@ -182,10 +183,10 @@
     }
 }
 
-awaitable<void> backend_server::serve_time(const Json::Value& statements) {
+awaitable<void> backend_server::simulate_service_time(const Json::Value& statements) {
     co_await slots_.acquire();
     co_await sleep_for(statements.size() * microseconds{settings_.service_us});
-    co_await thaw();
+    co_await wait_while_frozen();
     slots_.release();
 }
 
@@ -194,7 +195,8 @@
         return false;
     }
     ++interleavings_;
-    answer.problem = {error_kind::statement_failed, "another transaction is open here", {}};
+    answer.problem = {
+        error_kind::statement_failed, "another transaction is open on this connection", {}};
     return true;
 }
 
@@ -203,7 +205,7 @@
     if (is_interleaved(*session, answer)) {
         co_return;
     }
-    co_await serve_time(request.statements);
+    co_await simulate_service_time(request.statements);
     database_->execute(request, answer);
     if (answer.written != log_position{}) {
         changed_.notify();
@@ -239,7 +241,7 @@
     if (!has_transaction(*session, request, answer)) {
         co_return;
     }
-    co_await serve_time(request.statements);
+    co_await simulate_service_time(request.statements);
     database_->run(request, *session->transaction, answer);
     if (answer.problem.kind != error_kind::none) {
         session->transaction.reset();
@@ -251,7 +253,7 @@
     if (!has_transaction(*session, request, answer)) {
         co_return;
     }
-    co_await serve_time(Json::arrayValue);
+    co_await simulate_service_time(Json::arrayValue);
     database_->commit(request, *session->transaction, answer);
     session->transaction.reset();
     changed_.notify();
@@ -284,7 +286,8 @@
     const auto source = database_->source();
     database_->follow(request, answer);
     if (replication_ && database_->source() != source) {
-        // A pull from a primary that is cut off would delay the new one by its timeout.
+        // A pull in flight to an unreachable primary would delay replication from the new primary
+        // by up to `pull_timeout`.
         replication_->cancel();
     }
     changed_.notify();
@@ -298,10 +301,10 @@
         co_return error_reply(400, decoded.error().message());
     }
     const auto& wanted = decoded.value();
-    const auto deadline = after_wait(wanted.wait);
+    const auto deadline = wait_deadline(wanted.wait);
     const auto term_before = database_->accepted_term();
     for (;;) {
-        co_await thaw();
+        co_await wait_while_frozen();
         const auto now = steady_clock::now();
         const auto answer = database_->serve_log(wanted, now);
         if (database_->accepted_term() != term_before) {
@@ -324,7 +327,7 @@
     const log_request request{database_->accepted_term(), log.last(), log.last_term(), lag_,
                               pull_wait};
     const auto json = co_await primary.post("/log", to_json(request), pull_timeout);
-    co_await thaw();
+    co_await wait_while_frozen();
     const auto answer = from_json<log_answer>(json);
     if (!answer || answer.value().term == term{}) {
         co_await sleep_for(pull_retry);
@@ -337,7 +340,7 @@
 
 awaitable<void> backend_server::replicate() {
     for (;;) {
-        co_await thaw();
+        co_await wait_while_frozen();
         const auto source = database_->source();
         if (source == endpoint{}) {
             replication_.reset();
@@ -360,10 +363,10 @@
     const auto& fault = decoded.value();
     lag_ = fault.lag_ms ? milliseconds{*fault.lag_ms} : lag_;
     answer_delay_ = fault.delay_ms ? milliseconds{*fault.delay_ms} : answer_delay_;
-    crossed_ = fault.crossed > 0 ? fault.crossed : crossed_;
+    crossed_answers_left_ = fault.crossed > 0 ? fault.crossed : crossed_answers_left_;
     if (fault.freeze_ms) {
         frozen_until_ = steady_clock::now() + milliseconds{*fault.freeze_ms};
-        thawed_.notify();
+        freeze_changed_.notify();
     }
     if (fault.refuse_ms > 0) {
         server_.refuse_for(milliseconds{fault.refuse_ms});
--- a/src/standins/jackdawvane-backend/backend_server.hpp
+++ b/src/standins/jackdawvane-backend/backend_server.hpp
@@ -18,16 +18,16 @@
 struct backend_settings {
     backend_server_id id;
     endpoint listen;
-    std::optional<endpoint> advertised; ///< Address that replicas use; `listen` by default.
+    std::optional<endpoint> advertised; ///< Address for replicas; `listen` by default.
     std::uint32_t connection_limit{20};
-    std::uint32_t connect_ms{10};            ///< Time that opening a session takes.
-    std::uint32_t slots{3};                  ///< Transactions that run at once.
-    std::uint32_t service_us{500};           ///< Time that one statement takes.
+    std::uint32_t connect_ms{10};            ///< Duration of opening a session.
+    std::uint32_t slots{3};                  ///< Transactions executed concurrently.
+    std::uint32_t service_us{500};           ///< Execution time of one statement.
     std::uint32_t lag_ms{0};                 ///< Replication lag of this server as a replica.
-    std::uint64_t record_bytes{0};           ///< Received bytes kept for `/inspect?record`.
+    std::uint64_t record_bytes{0};           ///< Limit of the bytes recorded for `/inspect?record`.
     std::string data_file;                   ///< Journal that survives a restart; empty for none.
-    jackdawvane::term initial_term;          ///< Term at the start; 0 leaves it to a promotion.
-    std::optional<endpoint> initial_primary; ///< Primary of that term.
+    jackdawvane::term initial_term;          ///< Initial term; 0 leaves it to a promotion.
+    std::optional<endpoint> initial_primary; ///< Primary of the initial term.
 
     static constexpr auto fields() {
         using self = backend_settings;
@@ -49,11 +49,11 @@
 /// @brief Body of `POST /fault`.
 struct backend_fault {
     std::optional<std::uint32_t> lag_ms;    ///< Replication lag from now on.
-    std::optional<std::uint32_t> delay_ms;  ///< Delays every answer from now on.
-    std::optional<std::uint32_t> freeze_ms; ///< Neither answers nor replicates; 0 ends it.
+    std::optional<std::uint32_t> delay_ms;  ///< Delay of every answer from now on.
+    std::optional<std::uint32_t> freeze_ms; ///< Stops answers and replication; 0 ends it.
     std::uint32_t refuse_ms{0};             ///< Refuses new connections for this time.
-    std::uint32_t crossed{0};               ///< Next answers that carry the previous answer.
-    bool silence{false};                    ///< Open connections deliver nothing any more.
+    std::uint32_t crossed{0};               ///< Next answers replaced by the previous one.
+    bool silence{false};                    ///< Makes the other open connections unresponsive.
     bool stop{false};                       ///< Ends the process.
 
     static constexpr auto fields() {
@@ -118,8 +118,8 @@
     bool has_transaction(client_session& session, const backend_request& request,
                          backend_answer& answer);
     bool is_interleaved(const client_session& session, backend_answer& answer);
-    awaitable<void> serve_time(const Json::Value& statements);
-    awaitable<void> thaw();
+    awaitable<void> simulate_service_time(const Json::Value& statements);
+    awaitable<void> wait_while_frozen();
     void record(const std::string& raw);
     void open_journal();
     void start_initial_term();
@@ -129,13 +129,13 @@
     asio::io_context& io_;
     backend_settings settings_;
     notifier changed_;
-    notifier thawed_;
+    notifier freeze_changed_;
     semaphore slots_;
     std::map<std::uint64_t, session_ptr> sessions_;
     steady_clock::time_point frozen_until_;
     microseconds lag_;
     milliseconds answer_delay_{0};
-    std::uint32_t crossed_{0};
+    std::uint32_t crossed_answers_left_{0};
     std::string previous_answer_;
     std::string recorded_;
     std::uint64_t highest_connections_{0};
@@ -144,7 +144,7 @@
     std::ofstream journal_;
     http_server server_;
     std::unique_ptr<database> database_;
-    std::optional<http_client> replication_; ///< Connection to the primary that is followed.
+    std::optional<http_client> replication_; ///< Connection to the primary for log pulls.
 };
 
 } // namespace jackdawvane::standin
--- a/src/standins/jackdawvane-backend/database.cpp
+++ b/src/standins/jackdawvane-backend/database.cpp
@@ -61,7 +61,7 @@
     state_.rebuild(log_);
 }
 
-void database::adopt(term higher, vm_id candidate) {
+void database::adopt_term(term higher, vm_id candidate) {
     accepted_ = higher;
     candidate_ = std::move(candidate);
     role_ = backend_role::replica;
@@ -69,8 +69,8 @@
     record_term();
 }
 
-void database::reject(backend_answer& answer, std::string why) {
-    answer.problem = {error_kind::conflict, std::move(why), {}};
+void database::reject(backend_answer& answer, std::string reason) {
+    answer.problem = {error_kind::conflict, std::move(reason), {}};
 }
 
 bool database::is_fenced(const backend_request& request, backend_answer& answer) const {
@@ -82,8 +82,9 @@
         return false;
     }
     answer.problem = {error_kind::fenced,
-                      role_ == backend_role::primary ? "the accepted term is another one"
-                                                     : "this server is not the primary",
+                      role_ == backend_role::primary
+                          ? "the expected term differs from the accepted term"
+                          : "this server is not the primary",
                       {}};
     return true;
 }
@@ -95,7 +96,8 @@
         return false;
     }
     if (first->fingerprint != fingerprint) {
-        answer.problem = {error_kind::name_reused, "the name belongs to another request", {}};
+        answer.problem = {
+            error_kind::name_reused, "the request name was used with another fingerprint", {}};
         return true;
     }
     const auto& entry = log_.at(first->written);
@@ -171,7 +173,7 @@
     }
     if (writes && state_.is_stale(transaction.view)) {
         answer.problem = {error_kind::statement_failed,
-                          "another transaction changed a key that this one used",
+                          "another transaction changed a key that this one accessed",
                           {}};
         return;
     }
@@ -186,10 +188,10 @@
 
 void database::accept_term(const backend_request& request, backend_answer& answer) {
     if (request.expected_term <= accepted_) {
-        reject(answer, "a term this high is accepted already");
+        reject(answer, "this term or a higher one is already accepted");
         return;
     }
-    adopt(request.expected_term, request.candidate);
+    adopt_term(request.expected_term, request.candidate);
 }
 
 void database::promote(const backend_request& request, backend_answer& answer) {
@@ -199,10 +201,10 @@
         return;
     }
     if (role_ == backend_role::primary) {
-        return; // A repeated promotion of the same term and candidate.
+        return; // Promotion is idempotent for the same term and candidate.
     }
     if (log_.last_term() == accepted_) {
-        reject(answer, "the term has had a primary already");
+        reject(answer, "the term already had a primary");
         return;
     }
     role_ = backend_role::primary;
@@ -214,7 +216,7 @@
 
 void database::follow(const backend_request& request, backend_answer& answer) {
     if (request.expected_term < accepted_) {
-        reject(answer, "a higher term is accepted");
+        reject(answer, "a higher term is already accepted");
         return;
     }
     if (request.primary == self_) {
@@ -224,7 +226,7 @@
         return;
     }
     if (request.expected_term > accepted_) {
-        adopt(request.expected_term, {});
+        adopt_term(request.expected_term, {});
     } else if (role_ == backend_role::primary) {
         reject(answer, "this server is the primary of the term");
         return;
@@ -234,7 +236,7 @@
 
 log_answer database::serve_log(const log_request& request, steady_clock::time_point now) {
     if (request.term > accepted_) {
-        adopt(request.term, {});
+        adopt_term(request.term, {});
     }
     log_answer answer;
     if (role_ != backend_role::primary || request.term != accepted_) {
@@ -263,7 +265,7 @@
     if (role_ != backend_role::replica || answer.term != accepted_ || accepted_ == term{}) {
         return false;
     }
-    // The log may have changed while the answer was under way.
+    // The log may have changed while the request was in flight.
     if (request.after != log_.last() || request.last_term != log_.last_term()) {
         return false;
     }
--- a/src/standins/jackdawvane-backend/database.hpp
+++ b/src/standins/jackdawvane-backend/database.hpp
@@ -10,13 +10,13 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Replica's request for entries past `after`.
+/// @brief Request of a replica for the entries past position `after`.
 struct log_request {
     jackdawvane::term term; ///< Accepted term of the replica.
     log_position after;
     jackdawvane::term last_term; ///< Term of the replica's entry at `after`.
-    duration lag{0};             ///< Only entries that are at least this old are sent.
-    duration wait{0};            ///< Longest time to hold an answer without entries.
+    duration lag{0};             ///< Minimum age of the entries that are sent.
+    duration wait{0};            ///< Maximum time to wait for entries (long poll).
 
     static constexpr auto fields() {
         return std::tuple{field("term", &log_request::term), field("after", &log_request::after),
@@ -25,9 +25,9 @@
     }
 };
 
-/// @brief Primary's answer to a replica.
+/// @brief Answer of a primary to a log request.
 struct log_answer {
-    jackdawvane::term term; ///< Term of the primary; 0 when this server is none.
+    jackdawvane::term term; ///< Term of the primary; 0 when the server is not primary.
     bool matches{false};    ///< The replica's log is a prefix of the primary's.
     std::vector<term_start> history;
     log_position last;
@@ -40,7 +40,7 @@
     }
 };
 
-/// @brief Open interactive transaction of a connection.
+/// @brief Open multi-statement transaction of a connection.
 struct open_transaction {
     backend_request begin;
     transaction_view view;
@@ -51,14 +51,14 @@
 /// @brief Terms, log, role and data of one backend server. No I/O; each call is atomic.
 class database {
   public:
-    /// @brief Called with every durable change: accepted term, appended entry, truncation.
+    /// @brief Called for each durable change: accepted term, appended entry, truncation.
     using change_recorder = std::function<void(const Json::Value&)>;
 
-    /// @param self address that replicas of this server use
+    /// @param self address at which replicas reach this server
     explicit database(endpoint self) : self_{std::move(self)} {}
 
     void set_journal(change_recorder journal) { journal_ = std::move(journal); }
-    /// @brief Repeats a change that the journal has recorded.
+    /// @brief Applies a change that was recorded in the journal.
     void replay(const Json::Value& change);
 
     [[nodiscard]] backend_status status() const;
@@ -67,27 +67,27 @@
     [[nodiscard]] term accepted_term() const noexcept { return accepted_; }
     /// @brief Primary to replicate from; empty when there is none.
     [[nodiscard]] const endpoint& source() const noexcept { return source_; }
-    /// @brief Transactions that ran, reads included.
+    /// @brief Number of executed transactions, reads included.
     [[nodiscard]] std::uint64_t executed() const noexcept { return executed_; }
 
-    /// @brief One transaction with all statements.
+    /// @brief Executes a single-request transaction.
     void execute(const backend_request& request, backend_answer& answer);
-    /// @brief Checks that a transaction may be opened.
+    /// @brief Checks whether a transaction may begin; sets the problem of @a answer if not.
     void begin(const backend_request& request, backend_answer& answer) const;
     /// @brief Runs statements inside @a transaction.
     void run(const backend_request& request, open_transaction& transaction,
              backend_answer& answer) const;
-    /// @brief Writes the entry of @a transaction.
+    /// @brief Commits @a transaction; a write appends a log entry.
     void commit(const backend_request& request, const open_transaction& transaction,
                 backend_answer& answer);
     void accept_term(const backend_request& request, backend_answer& answer);
     void promote(const backend_request& request, backend_answer& answer);
     void follow(const backend_request& request, backend_answer& answer);
 
-    /// @brief Serves a replica; a higher term in the request ends this server's primary role.
-    /// @param now entries younger than the asked lag are withheld
+    /// @brief Answers a replica; a higher term in the request ends this server's primary role.
+    /// @param now current time; entries younger than the requested lag are withheld
     [[nodiscard]] log_answer serve_log(const log_request& request, steady_clock::time_point now);
-    /// @brief Takes a primary's answer over; truncates where the logs differ.
+    /// @brief Applies a primary's answer: appends entries, or truncates where the logs diverge.
     /// @return whether the log changed
     bool replicate(const log_request& request, const log_answer& answer);
 
@@ -97,10 +97,10 @@
                                  backend_answer& answer) const;
     void append(log_entry entry);
     void truncate(log_position position);
-    void adopt(term higher, vm_id candidate);
+    void adopt_term(term higher, vm_id candidate);
     void record(const char* change, Json::Value value) const;
     void record_term() const;
-    static void reject(backend_answer& answer, std::string why);
+    static void reject(backend_answer& answer, std::string reason);
 
     endpoint self_;
     change_recorder journal_;
@@ -108,7 +108,7 @@
     state_machine state_;
     backend_role role_{backend_role::replica};
     term accepted_;
-    vm_id candidate_; ///< Candidate that the accepted term was given to.
+    vm_id candidate_; ///< Candidate for which the term was accepted.
     endpoint source_;
     std::uint64_t executed_{0};
 };
--- a/src/standins/jackdawvane-backend/replicated_log.hpp
+++ b/src/standins/jackdawvane-backend/replicated_log.hpp
@@ -10,14 +10,14 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Committed transaction, or the no-op entry that starts a term.
+/// @brief Log entry: a committed transaction, or the no-op entry that starts a term.
 struct log_entry {
     jackdawvane::term term;
     request_name name;       ///< Key of the request table; empty for an unnamed transaction.
-    std::string fingerprint; ///< Digest that came with the name.
+    std::string fingerprint; ///< Digest of the request that first used the name.
     Json::Value statements{Json::arrayValue};
     Json::Value results{Json::arrayValue}; ///< First answer, returned for a repeated name.
-    steady_clock::time_point written_at;   ///< When this process appended it; not replicated.
+    steady_clock::time_point written_at;   ///< Local time of the append; not replicated.
 
     static constexpr auto fields() {
         return std::tuple{field("term", &log_entry::term), field("name", &log_entry::name),
@@ -27,7 +27,7 @@
     }
 };
 
-/// @brief Log of a database group; the first entry has position 1.
+/// @brief Replicated log of a database group; the first entry has position 1.
 class replicated_log {
   public:
     /// @brief Position of the last entry; 0 for an empty log.
@@ -48,9 +48,9 @@
     std::vector<term_start> history_;
 };
 
-/// @brief Last position up to which a log with @a history and end @a last agrees with @a log.
+/// @brief End of the common prefix of @a log and a log with @a history and last position @a last.
 ///
-/// A term has one primary, so entries with equal position and term have equal prefixes.
+/// A term has only one primary, so logs that agree in the term of a position agree up to it.
 [[nodiscard]] log_position common_prefix(const replicated_log& log,
                                          const std::vector<term_start>& history, log_position last);
 
--- a/src/standins/jackdawvane-backend/state_machine.cpp
+++ b/src/standins/jackdawvane-backend/state_machine.cpp
@@ -30,7 +30,7 @@
 result<Json::Value> state_machine::run_one(const Json::Value& statement, access_mode mode,
                                            transaction_view& view) const {
     if (!statement.isObject() || !statement["op"].isString() || !statement["key"].isString()) {
-        return failed_statement("a statement needs the strings op and key");
+        return failed_statement("a statement needs the string fields op and key");
     }
     const auto op = statement["op"].asString();
     const auto key = statement["key"].asString();
@@ -45,11 +45,11 @@
         value = Json::Value{};
     } else if (op == "add") {
         if (!operand.isNumeric() || !(value.isNull() || value.isNumeric())) {
-            return failed_statement("add needs numbers");
+            return failed_statement("add needs a numeric operand and a numeric or absent value");
         }
         value = sum(value, operand);
     } else if (op != "get") {
-        return failed_statement("unknown op " + op);
+        return failed_statement("unknown operation " + op);
     }
     if (op != "get") {
         view.changed[key] = value;
@@ -63,7 +63,7 @@
 result<Json::Value> state_machine::run(const Json::Value& statements, access_mode mode,
                                        transaction_view& view) const {
     if (!statements.isArray()) {
-        return failed_statement("statements must be a list");
+        return failed_statement("statements must be an array");
     }
     Json::Value results{Json::arrayValue};
     for (const auto& statement : statements) {
--- a/src/standins/jackdawvane-backend/state_machine.hpp
+++ b/src/standins/jackdawvane-backend/state_machine.hpp
@@ -10,36 +10,36 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Reads and changes of one transaction that has not committed yet.
+/// @brief Reads and writes of a transaction that has not been committed yet.
 struct transaction_view {
     std::map<std::string, Json::Value> changed; ///< Null marks a deleted key.
-    /// Position of the last change of every key that the transaction touched.
+    /// Position of the last change of each accessed key, at the transaction's first access.
     std::map<std::string, log_position> seen;
 };
 
-/// @brief First answer that belongs to a request name.
+/// @brief Fingerprint and log position of the transaction that first used a request name.
 struct named_result {
     std::string fingerprint;
     log_position written;
 };
 
-/// @brief Key-value map and request table: the state that the log entries produce.
+/// @brief Key-value map and request table: the state that results from the log entries.
 class state_machine {
   public:
     /// @brief Runs @a statements on top of @a view.
     ///
     /// Statements: `{"op": "get"|"put"|"add"|"delete", "key": str, "value": any}`. Each result
-    /// repeats the key and holds the value after the statement.
+    /// contains the key and its value after the statement.
     /// @return one result per statement, or `statement_failed`
     [[nodiscard]] result<Json::Value> run(const Json::Value& statements, access_mode mode,
                                           transaction_view& view) const;
-    /// @brief Whether a key that @a view touched has changed since.
+    /// @brief Whether a key that @a view accessed has been changed by another transaction since.
     [[nodiscard]] bool is_stale(const transaction_view& view) const;
     /// @brief Applies the entry at @a position.
     void apply(const log_entry& entry, log_position position);
-    /// @brief Starts again from the entries of @a log.
+    /// @brief Discards the state and applies all entries of @a log.
     void rebuild(const replicated_log& log);
-    /// @brief Entry of the request table.
+    /// @brief Entry of the request table; null when the name has not been used.
     [[nodiscard]] const named_result* find(const request_name& name) const;
 
   private:
--- a/tests/adapters/backend_database_test.cpp
+++ b/tests/adapters/backend_database_test.cpp
@@ -9,12 +9,12 @@
 
 enum class step_kind { accept, promote, follow };
 
-/// @brief One request of a candidate and whether the server takes it.
+/// @brief Term request of a candidate and whether the server accepts it.
 struct term_step {
     step_kind kind;
     std::uint64_t term;
     const char* candidate;
-    bool taken;
+    bool accepted;
 };
 
 backend_answer apply(database& server, step_kind kind, std::uint64_t number,
@@ -84,7 +84,7 @@
     database server{first_server};
     for (const auto& step : GetParam().steps) {
         const auto answer = apply(server, step.kind, step.term, step.candidate);
-        EXPECT_EQ(answer.problem.kind, step.taken ? error_kind::none : error_kind::conflict)
+        EXPECT_EQ(answer.problem.kind, step.accepted ? error_kind::none : error_kind::conflict)
             << "term " << step.term << " of " << step.candidate;
     }
     EXPECT_EQ(server.role(), GetParam().role);
@@ -118,7 +118,8 @@
                   backend_role::primary}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a write that a server without the expected term runs.
+/// Guards against a server that executes a write although its accepted term is not the expected
+/// one.
 TEST(BackendDatabase, WritesOfAnotherTermAreFenced) {
     database server{first_server};
     EXPECT_EQ(write(server, 0, "a").problem.kind, error_kind::fenced);
@@ -131,7 +132,8 @@
     EXPECT_EQ(read(server, "n").asInt(), 1);
 }
 
-/// Guards against a repeated name that runs again or hides a different request.
+/// Guards against a repeated request name that is executed again, and against one that returns the
+/// answer of a different request.
 TEST(BackendDatabase, RepeatedNameReturnsTheFirstAnswer) {
     database server{first_server};
     make_primary(server, 1);
@@ -144,7 +146,7 @@
     EXPECT_EQ(read(server, "n").asInt(), 1);
 }
 
-/// Guards against a rejoining server that keeps the tail that only it had.
+/// Guards against a former primary that rejoins and keeps log entries that were never replicated.
 TEST(BackendDatabase, DeposedPrimaryDropsItsTail) {
     database old_primary{first_server};
     database new_primary{{"127.0.0.1", 3}};
@@ -169,7 +171,7 @@
     EXPECT_FALSE(write(old_primary, 3, "lost").repeated);
 }
 
-/// Guards against entries that a lagging replica shows too early.
+/// Guards against entries that reach a replica before its replication lag has passed.
 TEST(BackendDatabase, LagWithholdsYoungEntries) {
     database primary{first_server};
     make_primary(primary, 1);
@@ -179,7 +181,7 @@
     EXPECT_EQ(primary.serve_log(request, now + std::chrono::seconds{1}).entries.size(), 1U);
 }
 
-/// Guards against a restarted server that accepts a term twice or forgets an order.
+/// Guards against a restarted server that accepts a term twice or forgets a named request.
 TEST(BackendDatabase, JournalRestoresTermsAndLog) {
     std::vector<Json::Value> journal;
     database before{first_server};
@@ -198,7 +200,7 @@
     EXPECT_TRUE(write(after, 5, "order").repeated);
 }
 
-/// Guards against a transaction that commits on data that changed under it.
+/// Guards against a transaction that commits although a key that it read has changed since.
 TEST(BackendDatabase, TransactionOnChangedKeyIsRolledBack) {
     database server{first_server};
     make_primary(server, 1);
