--- a/src/standins/jackdawvane-link/link_server.hpp
+++ b/src/standins/jackdawvane-link/link_server.hpp
@@ -10,10 +10,10 @@
 
 namespace jackdawvane::standin {
 
-/// @brief One relayed endpoint.
+/// @brief Settings of one relayed endpoint.
 struct relay_settings {
-    endpoint listen; ///< Address that others use; its prefix tells the target's place.
-    endpoint to;     ///< Address of the process behind it.
+    endpoint listen; ///< Address that clients use; its prefix determines the target's place.
+    endpoint to;     ///< Address of the target process.
     bool tcp{true};
     bool udp{false};
 
@@ -29,7 +29,8 @@
     endpoint control;
     std::map<std::string, place_settings> places;
     delay_settings delays;
-    double region_bits_per_second{30'000'000}; ///< Each way between two regions; 0 for no limit.
+    /// Bandwidth per direction between two regions; 0 for unlimited.
+    double region_bits_per_second{30'000'000};
     std::vector<relay_settings> relays;
 
     static constexpr auto fields() {
@@ -55,7 +56,7 @@
     }
 };
 
-/// @brief All relays of a bench and their control endpoint.
+/// @brief All relays of a test deployment and their control endpoint.
 class link_server : private boost::noncopyable {
   public:
     link_server(asio::io_context& io, const link_settings& settings);
--- a/src/standins/jackdawvane-link/network.cpp
+++ b/src/standins/jackdawvane-link/network.cpp
@@ -39,23 +39,24 @@
                             time now) {
     const auto* const source = find(from);
     const auto* const target = find(to);
-    const auto arrival = delay(from, to);
+    const auto propagation_delay = delay(from, to);
     if (source == nullptr || target == nullptr) {
-        return now + arrival;
+        return now + propagation_delay;
     }
-    const std::pair way{source->clients ? "clients" : source->region,
-                        target->clients ? "clients" : target->region};
-    bytes_[way] += bytes;
-    const bool shared = way.first != way.second && !source->clients && !target->clients;
+    const std::pair region_pair{source->clients ? "clients" : source->region,
+                                target->clients ? "clients" : target->region};
+    bytes_[region_pair] += bytes;
+    const bool shared =
+        region_pair.first != region_pair.second && !source->clients && !target->clients;
     if (!shared || region_bits_per_second_ <= 0) {
-        return now + arrival;
+        return now + propagation_delay;
     }
     const std::chrono::duration<double> serialisation{static_cast<double>(bytes) * 8 /
                                                       region_bits_per_second_};
-    auto& pipe_free = pipe_free_[way];
-    pipe_free = std::max(pipe_free, now) +
-                std::chrono::duration_cast<steady_clock::duration>(serialisation);
-    return pipe_free + arrival;
+    auto& pipe_free_at = pipe_free_at_[region_pair];
+    pipe_free_at = std::max(pipe_free_at, now) +
+                   std::chrono::duration_cast<steady_clock::duration>(serialisation);
+    return pipe_free_at + propagation_delay;
 }
 
 void network::heal(const place_pair& pair) {
@@ -63,7 +64,7 @@
     cuts_.erase({pair.second, pair.first});
 }
 
-bool network::names(const std::string& name, const std::string& place) const {
+bool network::matches_name(const std::string& name, const std::string& place) const {
     if (name != "*") {
         return name == place;
     }
@@ -78,8 +79,8 @@
     if (wildcard && from == to) {
         return false;
     }
-    return (names(pair.first, from) && names(pair.second, to)) ||
-           (names(pair.first, to) && names(pair.second, from));
+    return (matches_name(pair.first, from) && matches_name(pair.second, to)) ||
+           (matches_name(pair.first, to) && matches_name(pair.second, from));
 }
 
 bool network::is_cut(const std::string& from, const std::string& to) const {
@@ -97,10 +98,10 @@
         cut.append(second);
         json["cuts"].append(cut);
     }
-    for (const auto& [way, count] : bytes_) {
+    for (const auto& [region_pair, count] : bytes_) {
         Json::Value entry;
-        entry["from"] = way.first;
-        entry["to"] = way.second;
+        entry["from"] = region_pair.first;
+        entry["to"] = region_pair.second;
         entry["bytes"] = Json::UInt64{count};
         json["bytes"].append(entry);
     }
--- a/src/standins/jackdawvane-link/network.hpp
+++ b/src/standins/jackdawvane-link/network.hpp
@@ -16,9 +16,9 @@
 
 /// @brief Part of the network: a failure domain, the store's network or the clients.
 struct place_settings {
-    std::string prefix;  ///< Addresses that start with this text lie here.
+    std::string prefix;  ///< Address prefix of the place.
     std::string region;  ///< Region of a failure domain or of the store.
-    bool clients{false}; ///< Network of the callers, outside all regions.
+    bool clients{false}; ///< Network of the clients, outside all regions.
 
     static constexpr auto fields() {
         return std::tuple{field("prefix", &place_settings::prefix),
@@ -27,9 +27,9 @@
     }
 };
 
-/// @brief One-way delays.
+/// @brief One-way network delays.
 struct delay_settings {
-    duration within{0};     ///< Inside a place.
+    duration within{0};     ///< Within a place.
     duration domains{500};  ///< Between places of one region.
     duration regions{8000}; ///< Between regions.
     duration clients{3000}; ///< Between the clients and any other place.
@@ -42,10 +42,11 @@
     }
 };
 
-/// @brief Pair of place names; `*` stands for every place but the clients.
+/// @brief Pair of place names; `*` matches every place except the clients.
 using place_pair = std::pair<std::string, std::string>;
 
-/// @brief Delays, shared bandwidth and cuts between places. No I/O; calls carry the time.
+/// @brief Model of the delays, shared bandwidth and partitions ("cuts") between places. No I/O;
+/// calls are passed the current time.
 class network {
   public:
     using time = steady_clock::time_point;
@@ -53,37 +54,37 @@
     network(std::map<std::string, place_settings> places, const delay_settings& delays,
             double region_bits_per_second);
 
-    /// @brief Name of the place of @a address; empty when it lies in none.
+    /// @brief Name of the place of @a address; empty when no prefix matches.
     [[nodiscard]] std::string place_of(const std::string& address) const;
-    /// @brief One-way delay without waiting for bandwidth.
+    /// @brief One-way propagation delay, without the wait for shared bandwidth.
     [[nodiscard]] duration delay(const std::string& from, const std::string& to) const;
-    /// @brief Sends @a bytes at @a now and counts them.
+    /// @brief Computes the arrival time of @a bytes sent at @a now and adds them to the counts.
     ///
-    /// Traffic between two regions shares one FIFO pipe in each direction.
-    /// @return time of arrival of the last byte
+    /// All traffic from one region to another shares one FIFO link of limited bandwidth.
+    /// @return arrival time of the last byte
     time send(const std::string& from, const std::string& to, std::size_t bytes, time now);
 
     void cut(const place_pair& pair) { cuts_.insert(pair); }
-    /// @brief Removes the cut @a pair, in either order of its names.
+    /// @brief Removes the cut between the places of @a pair, in either order.
     void heal(const place_pair& pair);
     void heal_all() { cuts_.clear(); }
     [[nodiscard]] bool is_cut(const std::string& from, const std::string& to) const;
-    /// @brief Whether @a pair names the places @a from and @a to in either order.
+    /// @brief Whether @a pair matches the places @a from and @a to in either order.
     [[nodiscard]] bool matches(const place_pair& pair, const std::string& from,
                                const std::string& to) const;
 
-    /// @brief Cuts and bytes sent per pair of regions.
+    /// @brief Active cuts, and bytes sent per pair of regions.
     [[nodiscard]] Json::Value inspect() const;
 
   private:
     [[nodiscard]] const place_settings* find(const std::string& place) const;
-    [[nodiscard]] bool names(const std::string& name, const std::string& place) const;
+    [[nodiscard]] bool matches_name(const std::string& name, const std::string& place) const;
 
     std::map<std::string, place_settings> places_;
     delay_settings delays_;
     double region_bits_per_second_;
     std::set<place_pair> cuts_;
-    std::map<std::pair<std::string, std::string>, time> pipe_free_;
+    std::map<std::pair<std::string, std::string>, time> pipe_free_at_;
     std::map<std::pair<std::string, std::string>, std::uint64_t> bytes_;
 };
 
--- a/src/standins/jackdawvane-link/relays.cpp
+++ b/src/standins/jackdawvane-link/relays.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr std::size_t chunk_size = std::size_t{64} * 1024;        // bytes
-constexpr std::size_t queue_limit = std::size_t{4} * 1024 * 1024; // bytes held per direction
-// The far end of a silent connection learns of a close this late, as from a keep-alive timeout.
+constexpr std::size_t queue_limit = std::size_t{4} * 1024 * 1024; // bytes per direction
+// Delay after which a close of a silent connection is reported to the other end, like a TCP
+// keep-alive timeout.
 constexpr std::chrono::seconds silent_close_delay{5};
 
 template <class Endpoint>
@@ -36,8 +37,8 @@
 
 void tcp_relay::silence(const place_pair& pair) {
     for (const auto& connection : connections_) {
-        const auto& way = connection->forth;
-        if (state_.net.matches(pair, way.from, way.to)) {
+        const auto& direction = connection->to_server;
+        if (state_.net.matches(pair, direction.from, direction.to)) {
             connection->silent = true;
         }
     }
@@ -60,18 +61,18 @@
     }
 }
 
-awaitable<void> tcp_relay::wait_for_way(const relayed_direction& direction) {
+awaitable<void> tcp_relay::wait_until_healed(const relayed_direction& direction) {
     while (state_.net.is_cut(direction.from, direction.to)) {
         co_await state_.cuts_changed.wait_until(steady_clock::time_point::max());
     }
 }
 
-// The sender's address is kept, so that the target sees who connects.
+// Binds to the client's address, so that the target sees the original source address.
 awaitable<bool> tcp_relay::connect(connection_ptr connection) {
-    auto& way = connection->forth;
-    co_await wait_for_way(way);
+    auto& direction = connection->to_server;
+    co_await wait_until_healed(direction);
     // A TCP handshake takes one round trip before the first byte can be sent.
-    co_await sleep_for(2 * state_.net.delay(way.from, way.to));
+    co_await sleep_for(2 * state_.net.delay(direction.from, direction.to));
     error_code failed;
     const auto source = connection->client.remote_endpoint(failed).address();
     if (!failed) {
@@ -96,14 +97,14 @@
     const auto self = std::prev(connections_.end());
     if (co_await connect(connection)) {
         auto& io = state_.io;
-        auto& [client, server, forth, back, silent] = *connection;
-        asio::co_spawn(io, receive(connection, client, forth), asio::detached);
-        asio::co_spawn(io, receive(connection, server, back), asio::detached);
-        asio::co_spawn(io, deliver(connection, client, back), asio::detached);
-        co_await deliver(connection, server, forth);
-        // The answer to the last bytes may still be under way.
+        auto& [client, server, to_server, to_client, silent] = *connection;
+        asio::co_spawn(io, receive(connection, client, to_server), asio::detached);
+        asio::co_spawn(io, receive(connection, server, to_client), asio::detached);
+        asio::co_spawn(io, deliver(connection, client, to_client), asio::detached);
+        co_await deliver(connection, server, to_server);
+        // The response to the last bytes may still be in flight.
         while (client.is_open() && server.is_open()) {
-            co_await back.changed.wait_until(steady_clock::now() + silent_close_delay);
+            co_await to_client.changed.wait_until(steady_clock::now() + silent_close_delay);
         }
     }
     error_code ignored;
@@ -147,7 +148,7 @@
         if (chunk.due > steady_clock::now()) {
             co_await sleep_for(chunk.due - steady_clock::now());
         }
-        co_await wait_for_way(direction);
+        co_await wait_until_healed(direction);
         direction.queued_bytes -= chunk.bytes.size();
         direction.changed.notify();
         if (chunk.bytes.empty()) {
@@ -157,15 +158,15 @@
             co_await asio::async_write(socket, asio::buffer(chunk.bytes), returning(failed));
         }
     }
-    if (failed || &direction == &connection->back) {
-        // The target has closed or cannot be reached: the whole connection ends.
+    if (failed || &direction == &connection->to_client) {
+        // The target has closed or the write failed: close both sockets.
         connection->client.close(failed);
         connection->server.close(failed);
     } else {
         socket.shutdown(tcp::socket::shutdown_send, failed);
     }
-    connection->forth.changed.notify();
-    connection->back.changed.notify();
+    connection->to_server.changed.notify();
+    connection->to_client.changed.notify();
 }
 
 udp_relay::udp_relay(link_state& state, const endpoint& listen, const endpoint& target)
@@ -186,7 +187,7 @@
         const auto size =
             co_await socket_.async_receive_from(asio::buffer(buffer), source, returning(failed));
         if (failed) {
-            continue; // An unreachable target reports here.
+            continue; // ICMP errors of an unreachable target are reported here.
         }
         auto from = state_.net.place_of(source.address().to_string());
         const auto due = state_.net.send(from, place_, size, steady_clock::now());
--- a/src/standins/jackdawvane-link/relays.hpp
+++ b/src/standins/jackdawvane-link/relays.hpp
@@ -14,57 +14,58 @@
 
 namespace jackdawvane::standin {
 
-/// @brief What all relays of a process share.
+/// @brief State that is shared by all relays of a process.
 struct link_state {
     link_state(asio::io_context& context, network places)
         : io{context}, net{std::move(places)}, cuts_changed{context} {}
 
     asio::io_context& io;
     network net;
-    notifier cuts_changed; ///< Wakes relays that hold bytes back because of a cut.
+    notifier cuts_changed; ///< Wakes relays that buffer bytes during a cut.
 };
 
-/// @brief One direction of a relayed connection: bytes with their arrival times, in order.
+/// @brief One direction of a relayed connection: queue of chunks with their delivery times.
 struct relayed_direction {
     struct chunk {
         steady_clock::time_point due;
-        std::string bytes; ///< Empty for the end of the stream.
+        std::string bytes; ///< Empty at the end of the stream.
     };
 
     relayed_direction(asio::io_context& io, std::string source, std::string target)
         : from{std::move(source)}, to{std::move(target)}, changed{io} {}
 
-    std::string from; ///< Place names.
-    std::string to;
+    std::string from; ///< Place of the sender.
+    std::string to;   ///< Place of the receiver.
     std::deque<chunk> queue;
     std::size_t queued_bytes{0};
     notifier changed;
 };
 
-/// @brief Connection that passes through the relay.
+/// @brief Relayed TCP connection: the accepted socket and the one to the target.
 struct relayed_connection {
     relayed_connection(asio::io_context& io, tcp::socket accepted, const std::string& from,
                        const std::string& to)
-        : client{std::move(accepted)}, server{io}, forth{io, from, to}, back{io, to, from} {}
+        : client{std::move(accepted)}, server{io}, to_server{io, from, to}, to_client{io, to,
+                                                                                      from} {}
 
     tcp::socket client;
     tcp::socket server;
-    relayed_direction forth;
-    relayed_direction back;
-    bool silent{false}; ///< Delivers nothing any more, in both directions.
+    relayed_direction to_server;
+    relayed_direction to_client;
+    bool silent{false}; ///< Bytes of both directions are dropped.
 };
 
 /// @brief Relays TCP connections of one listening endpoint.
 ///
-/// A cut holds bytes and new connections back until it heals, as retransmission would; a
-/// silenced connection loses its bytes for good.
+/// A cut delays bytes and new connections until it is healed, as TCP retransmission would. A
+/// silenced connection drops all further bytes and never recovers.
 class tcp_relay : private boost::noncopyable {
   public:
     /// @throws boost::system::system_error when the address is in use
     tcp_relay(link_state& state, const endpoint& listen, endpoint target);
 
     [[nodiscard]] endpoint local() const;
-    /// @brief Open connections between the places of @a pair go silent.
+    /// @brief Makes the open connections between the places of @a pair drop all further bytes.
     void silence(const place_pair& pair);
     [[nodiscard]] std::size_t connections() const noexcept { return connections_.size(); }
 
@@ -78,7 +79,7 @@
                             relayed_direction& direction);
     awaitable<void> deliver(connection_ptr connection, tcp::socket& socket,
                             relayed_direction& direction);
-    awaitable<void> wait_for_way(const relayed_direction& direction);
+    awaitable<void> wait_until_healed(const relayed_direction& direction);
 
     link_state& state_;
     tcp::acceptor acceptor_;
@@ -87,7 +88,7 @@
     std::list<connection_ptr> connections_;
 };
 
-/// @brief Relays datagrams of one listening endpoint, one way; a cut loses them.
+/// @brief Relays datagrams of one listening endpoint in one direction; drops them during a cut.
 class udp_relay : private boost::noncopyable {
   public:
     /// @throws boost::system::system_error when the address is in use
--- a/tests/adapters/link_network_test.cpp
+++ b/tests/adapters/link_network_test.cpp
@@ -4,7 +4,7 @@
 namespace jackdawvane::standin {
 namespace {
 
-network sample() {
+network sample_network() {
     return network{{{"mixco", {"127.1.1.", "central", false}},
                     {"nueva", {"127.1.2.", "central", false}},
                     {"xela", {"127.2.1.", "occidente", false}},
@@ -13,19 +13,19 @@
                    8'000'000};
 }
 
-struct way_case {
+struct path_case {
     const char* name;
     const char* from;
     const char* to;
     std::int64_t delay_us;
-    bool cut; ///< Whether the cut of mixco from all others covers it.
+    bool cut; ///< Whether a cut between mixco and all other places applies.
 };
 
-class Ways : public testing::TestWithParam<way_case> {};
+class NetworkPaths : public testing::TestWithParam<path_case> {};
 
-/// Guards against a bench whose distances or cuts are other than stated.
-TEST_P(Ways, HaveTheirDelayAndCut) {
-    auto net = sample();
+/// Guards against delays or cuts that differ from the configured ones.
+TEST_P(NetworkPaths, HaveTheirDelayAndCut) {
+    auto net = sample_network();
     const auto from = net.place_of(GetParam().from);
     const auto to = net.place_of(GetParam().to);
     EXPECT_EQ(net.delay(from, to).count(), GetParam().delay_us);
@@ -37,18 +37,18 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Network, Ways,
-    testing::Values(way_case{"same_domain", "127.1.1.1", "127.1.1.9", 0, false},
-                    way_case{"same_region", "127.1.1.1", "127.1.2.1", 500, true},
-                    way_case{"other_domains", "127.1.2.1", "127.2.1.1", 8000, false},
-                    way_case{"other_region", "127.2.1.1", "127.1.1.1", 8000, true},
-                    way_case{"client", "127.9.0.1", "127.1.1.1", 3000, false},
-                    way_case{"unknown", "127.0.0.1", "127.1.1.1", 0, false}),
+    Network, NetworkPaths,
+    testing::Values(path_case{"same_domain", "127.1.1.1", "127.1.1.9", 0, false},
+                    path_case{"same_region", "127.1.1.1", "127.1.2.1", 500, true},
+                    path_case{"other_domains", "127.1.2.1", "127.2.1.1", 8000, false},
+                    path_case{"other_region", "127.2.1.1", "127.1.1.1", 8000, true},
+                    path_case{"client", "127.9.0.1", "127.1.1.1", 3000, false},
+                    path_case{"unknown", "127.0.0.1", "127.1.1.1", 0, false}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against bulk traffic between regions that delays no other traffic.
+/// Guards against inter-region traffic that does not compete for the shared bandwidth.
 TEST(Network, RegionsShareOnePipeEachWay) {
-    auto net = sample();
+    auto net = sample_network();
     const network::time now{};
     using std::chrono::milliseconds;
     EXPECT_EQ(net.send("mixco", "xela", 1000, now), now + milliseconds{9});
