--- a/src/standins/jackdawvane-platform/key_value_store.cpp
+++ b/src/standins/jackdawvane-platform/key_value_store.cpp
@@ -28,20 +28,21 @@
 }
 
 store_answer key_value_store::compare_and_swap(const store_request& request, time now) {
-    auto present = read(request.key, now);
-    if (present.version != request.version) {
-        present.status = store_status::conflict;
-        return present;
+    auto current = read(request.key, now);
+    if (current.version != request.version) {
+        current.status = store_status::conflict;
+        return current;
     }
     write(request.key, request.value, {});
     return read(request.key, now);
 }
 
 store_answer key_value_store::renew_lease(const store_request& request, time now) {
-    const auto present = read(request.key, now);
+    const auto current = read(request.key, now);
     const auto expiry = now + request.lease;
-    if (present.status == store_status::ok && present.value == request.value) {
-        values_[request.key].expiry = expiry; // A renewal alone wakes no watch.
+    if (current.status == store_status::ok && current.value == request.value) {
+        // The version stays, so a renewal does not complete a watch.
+        values_[request.key].expiry = expiry;
     } else {
         write(request.key, request.value, expiry);
     }
@@ -49,11 +50,11 @@
 }
 
 store_answer key_value_store::release_lease(const store_request& request, time now) {
-    auto present = read(request.key, now);
-    if (present.status == store_status::ok) {
+    auto current = read(request.key, now);
+    if (current.status == store_status::ok) {
         values_[request.key].present = false;
     }
-    return present;
+    return current;
 }
 
 } // namespace jackdawvane::standin
--- a/src/standins/jackdawvane-platform/key_value_store.hpp
+++ b/src/standins/jackdawvane-platform/key_value_store.hpp
@@ -10,15 +10,16 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Keys with versions and leases. No I/O; each call is atomic and carries its time.
+/// @brief Key-value store with versions and leases. No I/O; each call is atomic and is passed the
+/// current time.
 class key_value_store {
   public:
     using time = steady_clock::time_point;
 
-    /// @brief Present value and version of @a key; `not_found` for an expired lease.
+    /// @brief Current value and version of @a key; `not_found` for an expired lease.
     [[nodiscard]] store_answer read(const std::string& key, time now) const;
-    /// @brief Writes if the version is still the expected one; 0 creates the key.
-    /// @return the present state; `conflict` when nothing was written
+    /// @brief Writes if the key's version equals the request's; version 0 creates the key.
+    /// @return the resulting state, or the current one with `conflict` when nothing was written
     store_answer compare_and_swap(const store_request& request, time now);
     store_answer renew_lease(const store_request& request, time now);
     store_answer release_lease(const store_request& request, time now);
@@ -26,7 +27,7 @@
   private:
     struct stored_value {
         std::string value;
-        std::uint64_t version{0}; ///< Kept when the key goes, so that versions only rise.
+        std::uint64_t version{0}; ///< Kept when the key is removed, so that versions only increase.
         bool present{false};
         std::optional<time> expiry;
     };
--- a/src/standins/jackdawvane-platform/platform_server.cpp
+++ b/src/standins/jackdawvane-platform/platform_server.cpp
@@ -8,23 +8,23 @@
 namespace {
 
 constexpr std::size_t value_limit = std::size_t{1024} * 1024; // bytes
-constexpr microseconds longest_wait{60'000'000};
+constexpr microseconds max_wait{60'000'000};
 
 bool is_write(store_operation operation) {
     return operation == store_operation::compare_and_swap ||
            operation == store_operation::renew_lease || operation == store_operation::release_lease;
 }
 
-steady_clock::time_point after_wait(duration wait) {
-    return steady_clock::now() + std::min(wait, longest_wait);
+steady_clock::time_point wait_deadline(duration wait) {
+    return steady_clock::now() + std::min(wait, max_wait);
 }
 
 } // namespace
 
-bool call_limit::take(steady_clock::time_point now) {
-    const std::chrono::duration<double> passed = now - filled_;
+bool rate_limiter::try_acquire(steady_clock::time_point now) {
+    const std::chrono::duration<double> passed = now - refilled_at_;
     tokens_ = std::min(rate_, tokens_ + passed.count() * rate_);
-    filled_ = now;
+    refilled_at_ = now;
     if (tokens_ < 1) {
         return false;
     }
@@ -68,8 +68,8 @@
     if (operation != store_operation::compare_and_swap) {
         return false;
     }
-    if (lose_answers_ > 0) {
-        --lose_answers_;
+    if (answers_to_lose_ > 0) {
+        --answers_to_lose_;
         return true;
     }
     return std::bernoulli_distribution{lose_probability_}(random_);
@@ -84,25 +84,25 @@
     const auto& wanted = decoded.value();
     ++calls_[wanted.operation];
     if (wanted.value.size() > value_limit) {
-        co_return error_reply(413, "a value has at most 1 MB");
+        co_return error_reply(413, "the value is larger than 1 MB");
     }
     if (delay_.count() > 0) {
         co_await sleep_for(delay_);
     }
-    if (is_out()) {
+    if (in_outage()) {
         co_return outage_reply();
     }
     auto& limit = is_write(wanted.operation) ? writes_ : reads_;
-    if (!limit.take(steady_clock::now())) {
-        ++refused_;
+    if (!limit.try_acquire(steady_clock::now())) {
+        ++refused_calls_;
         co_return error_reply(429, "too many calls per second");
     }
     auto answer = co_await run(wanted);
-    if (is_out()) {
+    if (in_outage()) {
         co_return outage_reply();
     }
     if (loses_answer(wanted.operation)) {
-        ++lost_;
+        ++lost_answers_;
         co_return http_reply{200, {}, true};
     }
     answer.id = wanted.id;
@@ -128,7 +128,7 @@
         break;
     case store_operation::acquire_lease:
     case store_operation::keep_lease:
-        answer = lease_if(request, now);
+        answer = acquire_or_keep_lease(request, now);
         break;
     case store_operation::list_backends:
         answer.status = store_status::ok; // Backend servers do not register themselves here.
@@ -140,27 +140,28 @@
     co_return answer;
 }
 
-/// Acquires a lease that nobody has, or keeps one that exists.
-store_answer platform_server::lease_if(const store_request& request, steady_clock::time_point now) {
-    auto present = store_.read(request.key, now);
-    const bool exists = present.status == store_status::ok;
+// `acquire_lease` fails with `conflict` if the lease exists; `keep_lease` fails if it does not.
+store_answer platform_server::acquire_or_keep_lease(const store_request& request,
+                                                    steady_clock::time_point now) {
+    auto current = store_.read(request.key, now);
+    const bool exists = current.status == store_status::ok;
     if (request.operation == store_operation::keep_lease && !exists) {
-        return present;
+        return current;
     }
     if (request.operation == store_operation::acquire_lease && exists) {
-        present.status = store_status::conflict;
-        return present;
+        current.status = store_status::conflict;
+        return current;
     }
     return store_.renew_lease(request, now);
 }
 
 awaitable<store_answer> platform_server::watch(const store_request& request) {
-    const auto deadline = after_wait(request.wait);
+    const auto deadline = wait_deadline(request.wait);
     for (;;) {
         const auto now = steady_clock::now();
         auto answer = store_.read(request.key, now);
-        const bool gone = answer.version == 0 && request.version > 0;
-        if (gone || answer.version > request.version || now >= deadline || is_out()) {
+        const bool deleted = answer.version == 0 && request.version > 0;
+        if (deleted || answer.version > request.version || now >= deadline || in_outage()) {
             co_return answer;
         }
         co_await changed_.wait_until(deadline);
@@ -168,8 +169,8 @@
 }
 
 awaitable<store_answer> platform_server::list_vms(const store_request& request) {
-    const auto deadline = after_wait(request.wait);
-    while (vms_version_ <= request.version && steady_clock::now() < deadline && !is_out()) {
+    const auto deadline = wait_deadline(request.wait);
+    while (vms_version_ <= request.version && steady_clock::now() < deadline && !in_outage()) {
         co_await changed_.wait_until(deadline);
     }
     store_answer answer;
@@ -216,12 +217,12 @@
     const auto& fault = decoded.value();
     list_lag_ = fault.list_lag_ms ? milliseconds{*fault.list_lag_ms} : list_lag_;
     delay_ = fault.delay_ms ? milliseconds{*fault.delay_ms} : delay_;
-    lose_answers_ = fault.lose_answers.value_or(lose_answers_);
+    answers_to_lose_ = fault.lose_answers.value_or(answers_to_lose_);
     lose_probability_ = fault.lose_probability.value_or(lose_probability_);
     if (fault.outage_ms) {
         outage_ = fault.outage;
         outage_until_ = steady_clock::now() + milliseconds{*fault.outage_ms};
-        changed_.notify(); // Pending watches end with the outage's answer.
+        changed_.notify(); // Pending watches end with the outage's response.
     }
     if (fault.writes_per_second) {
         writes_.set_rate(*fault.writes_per_second);
@@ -242,8 +243,8 @@
         total += count;
     }
     json["total"] = Json::UInt64{total};
-    json["refused"] = Json::UInt64{refused_};
-    json["lost_answers"] = Json::UInt64{lost_};
+    json["refused"] = Json::UInt64{refused_calls_};
+    json["lost_answers"] = Json::UInt64{lost_answers_};
     json["vms"] = Json::UInt64{vms_.size()};
     json["vms_version"] = Json::UInt64{vms_version_};
     return json_reply(json);
--- a/src/standins/jackdawvane-platform/platform_server.hpp
+++ b/src/standins/jackdawvane-platform/platform_server.hpp
@@ -16,11 +16,11 @@
 /// @brief Settings of the platform stand-in.
 struct platform_settings {
     endpoint listen;
-    std::uint32_t list_lag_ms{0};  ///< Time until a change of the VM list is seen.
-    std::uint32_t delay_ms{0};     ///< Time that every call takes.
+    std::uint32_t list_lag_ms{0};  ///< Time until a change of the VM list is visible.
+    std::uint32_t delay_ms{0};     ///< Delay of every call.
     double writes_per_second{500}; ///< Writes above this rate are refused.
     double reads_per_second{2000}; ///< Reads above this rate are refused.
-    std::uint64_t seed{1};         ///< Seed of the lost answers.
+    std::uint64_t seed{1};         ///< Seed of the random choice of lost answers.
 
     static constexpr auto fields() {
         using self = platform_settings;
@@ -44,7 +44,7 @@
     }
 };
 
-/// @brief What calls meet during an outage.
+/// @brief Result of calls during an outage: no answer or an error.
 enum class outage_kind { silent, error };
 
 } // namespace jackdawvane::standin
@@ -61,10 +61,10 @@
 struct platform_fault {
     std::optional<std::uint32_t> list_lag_ms;
     std::optional<std::uint32_t> delay_ms;
-    std::optional<std::uint32_t> outage_ms; ///< Outage for this time; 0 ends one.
+    std::optional<std::uint32_t> outage_ms; ///< Duration of an outage from now on; 0 ends it.
     outage_kind outage{outage_kind::silent};
-    std::optional<std::uint32_t> lose_answers; ///< Next compare-and-swaps without an answer.
-    std::optional<double> lose_probability;    ///< Share of compare-and-swaps without an answer.
+    std::optional<std::uint32_t> lose_answers; ///< Number of next compare-and-swaps without answer.
+    std::optional<double> lose_probability; ///< Probability that a compare-and-swap has no answer.
     std::optional<double> writes_per_second;
     std::optional<double> reads_per_second;
 
@@ -81,22 +81,22 @@
     }
 };
 
-/// @brief Calls per second with a burst of one second.
-class call_limit {
+/// @brief Token bucket for calls per second; its capacity is the calls of one second.
+class rate_limiter {
   public:
-    explicit call_limit(double rate) : rate_{rate}, tokens_{rate} {}
+    explicit rate_limiter(double rate) : rate_{rate}, tokens_{rate} {}
 
     void set_rate(double rate) { rate_ = rate; }
-    /// @brief Takes a token if there is one.
-    bool take(steady_clock::time_point now);
+    /// @brief Takes one token; false when none is available.
+    bool try_acquire(steady_clock::time_point now);
 
   private:
     double rate_;
     double tokens_;
-    steady_clock::time_point filled_{};
+    steady_clock::time_point refilled_at_{};
 };
 
-/// @brief The platform's store and VM list over HTTP.
+/// @brief HTTP server for the platform's key-value store and VM list.
 class platform_server : private boost::noncopyable {
   public:
     platform_server(asio::io_context& io, const platform_settings& settings);
@@ -110,11 +110,12 @@
     awaitable<http_reply> handle(connection_ptr connection, const http_request& request);
     awaitable<http_reply> call(const http_request& request);
     awaitable<store_answer> run(const store_request& request);
-    store_answer lease_if(const store_request& request, std::chrono::steady_clock::time_point now);
+    store_answer acquire_or_keep_lease(const store_request& request,
+                                       std::chrono::steady_clock::time_point now);
     awaitable<store_answer> watch(const store_request& request);
     awaitable<store_answer> list_vms(const store_request& request);
     [[nodiscard]] http_reply outage_reply() const;
-    [[nodiscard]] bool is_out() const { return steady_clock::now() < outage_until_; }
+    [[nodiscard]] bool in_outage() const { return steady_clock::now() < outage_until_; }
     bool loses_answer(store_operation operation);
     http_reply change_vms(const http_request& request);
     void apply(const vm_list_change& change);
@@ -130,14 +131,14 @@
     milliseconds delay_;
     time outage_until_;
     outage_kind outage_{outage_kind::silent};
-    std::uint32_t lose_answers_{0};
+    std::uint32_t answers_to_lose_{0};
     double lose_probability_{0};
     random_engine random_;
-    call_limit writes_;
-    call_limit reads_;
+    rate_limiter writes_;
+    rate_limiter reads_;
     std::map<store_operation, std::uint64_t> calls_;
-    std::uint64_t refused_{0};
-    std::uint64_t lost_{0};
+    std::uint64_t refused_calls_{0};
+    std::uint64_t lost_answers_{0};
     http_server server_;
 };
 
