--- a/tests/adapters/backend_server_test.cpp
+++ b/tests/adapters/backend_server_test.cpp
@@ -27,7 +27,7 @@
   protected:
     BackendServer() { make_primary(server_, 1); }
 
-    static Json::Value order(const char* operation, std::uint64_t number) {
+    static Json::Value term_request(const char* operation, std::uint64_t number) {
         Json::Value json;
         json["operation"] = operation;
         json["expected_term"] = Json::UInt64{number};
@@ -37,8 +37,8 @@
     http_client client_of(const backend_server& server) { return {io_, server.local(), {}}; }
     void make_primary(backend_server& server, std::uint64_t number) {
         auto client = connected(server);
-        post(io_, client, "/backend", order("accept_term", number));
-        post(io_, client, "/backend", order("promote", number));
+        post(io_, client, "/backend", term_request("accept_term", number));
+        post(io_, client, "/backend", term_request("promote", number));
     }
     http_client connected(const backend_server& server) {
         auto client = client_of(server);
@@ -51,14 +51,15 @@
     }
     Json::Value inspect(const backend_server& server) {
         auto client = client_of(server);
-        return run(io_, client.get("/inspect", answer_time));
+        return run(io_, client.get("/inspect", answer_timeout));
     }
 
     asio::io_context io_{1};
     backend_server server_{io_, settings_of("a")};
 };
 
-/// Guards against an owner that opens more connections than the server has.
+/// Guards against a limit that is not enforced, which would hide an owner that opens too many
+/// connections.
 TEST_F(BackendServer, ConnectionsPastTheLimitAreRefused) {
     auto settings = settings_of("b");
     settings.connection_limit = 2;
@@ -77,7 +78,7 @@
     EXPECT_EQ(inspect(server)["highest_connections"].asUInt(), 2U);
 }
 
-/// Guards against a transaction that outlives its connection or mixes with another one.
+/// Guards against a transaction that outlives its connection or is interleaved with another one.
 TEST_F(BackendServer, TransactionBelongsToItsConnection) {
     auto client = connected(server_);
     post(io_, client, "/backend", request_of(begin));
@@ -93,13 +94,13 @@
     EXPECT_TRUE(post(io_, other, "/backend", request_of(get))["results"][0]["value"].isNull());
 }
 
-/// Guards against a status call that reports a new position only after its full wait.
+/// Guards against a status call that waits for its full timeout although the position has changed.
 TEST_F(BackendServer, StatusAnswersOnceThePositionIsPassed) {
     auto writer = connected(server_);
     auto watcher = connected(server_);
     Json::Value status = json_of(R"({"operation":"status","after":1,"wait_us":20000000})");
     std::optional<Json::Value> seen;
-    asio::co_spawn(io_, watcher.post("/backend", status, answer_time),
+    asio::co_spawn(io_, watcher.post("/backend", status, answer_timeout),
                    [&](std::exception_ptr, Json::Value answer) { seen = answer; });
     post(io_, writer, "/backend", request_of(put));
     while (!seen) {
@@ -108,11 +109,11 @@
     EXPECT_EQ((*seen)["status"]["position"].asUInt(), 2U);
 }
 
-/// Guards against a replica that never gets the primary's entries.
+/// Guards against a replica that does not receive the primary's entries.
 TEST_F(BackendServer, ReplicaFollowsItsPrimary) {
     backend_server replica{io_, settings_of("b")};
     auto client = connected(replica);
-    auto follow = order("follow", 1);
+    auto follow = term_request("follow", 1);
     follow["primary"] = to_json(server_.local());
     post(io_, client, "/backend", follow);
     auto writer = connected(server_);
@@ -123,23 +124,24 @@
     EXPECT_EQ(post(io_, client, "/backend", request_of(get))["results"][0]["value"].asInt(), 7);
 }
 
-/// Guards against a silenced connection that still delivers and new ones that do not.
-TEST_F(BackendServer, SilenceMeetsOpenConnectionsOnly) {
+/// Guards against a silenced connection that still delivers, and against new connections that do
+/// not.
+TEST_F(BackendServer, SilenceAffectsOpenConnectionsOnly) {
     auto before = connected(server_);
     fault(server_, R"({"silence":true})");
-    EXPECT_TRUE(post(io_, before, "/backend", request_of(get), silence_time).isNull());
+    EXPECT_TRUE(post(io_, before, "/backend", request_of(get), no_answer_timeout).isNull());
     auto after = connected(server_);
     EXPECT_EQ(post(io_, after, "/backend", request_of(get))["id"].asUInt(), 2U);
 }
 
-/// Guards against a frozen server that answers, and one that loses the request for good.
+/// Guards against a frozen server that answers, and against one that loses the pending request.
 TEST_F(BackendServer, FrozenServerAnswersAfterwards) {
     auto client = connected(server_);
     fault(server_, R"({"freeze_ms":60000})");
     std::optional<Json::Value> answer;
-    asio::co_spawn(io_, client.post("/backend", request_of(put), answer_time),
+    asio::co_spawn(io_, client.post("/backend", request_of(put), answer_timeout),
                    [&](std::exception_ptr, Json::Value value) { answer = value; });
-    io_.run_for(silence_time);
+    io_.run_for(no_answer_timeout);
     EXPECT_FALSE(answer);
     fault(server_, R"({"freeze_ms":0})");
     while (!answer) {
@@ -148,7 +150,7 @@
     EXPECT_EQ((*answer)["written"].asUInt(), 2U);
 }
 
-/// Guards against tests of crossed answers that never see one.
+/// Guards against a `crossed` fault without effect; tests that inject it would check nothing.
 TEST_F(BackendServer, CrossedAnswerCarriesAnotherId) {
     auto client = connected(server_);
     post(io_, client, "/backend", request_of(put));
--- a/tests/adapters/link_server_test.cpp
+++ b/tests/adapters/link_server_test.cpp
@@ -5,7 +5,7 @@
 namespace jackdawvane::standin {
 namespace {
 
-/// @brief Answers with the request's body, so that a test sees order and completeness.
+/// @brief Echo server behind a relay; echoed bodies show whether bytes are complete and in order.
 class EchoBehindLink : public testing::Test {
   protected:
     EchoBehindLink() {
@@ -25,17 +25,17 @@
         http_client control{io_, link_->control(), {}};
         post(io_, control, "/fault", json_of(text));
     }
-    Json::Value echo(http_client& client, int value, milliseconds timeout = answer_time) {
+    Json::Value echo(http_client& client, int value, milliseconds timeout = answer_timeout) {
         return post(io_, client, "/echo", Json::Value{value}, timeout);
     }
-    /// @brief Sends one datagram through the relay and reads what has arrived in a while.
+    /// @brief Sends a datagram through the relay; returns what arrives within `no_answer_timeout`.
     std::string send_datagram(const std::string& text) {
         udp::socket sender{io_, {asio::ip::make_address("127.3.1.1"), 0}};
         const auto relay = link_->udp_endpoints().front();
         sender.send_to(asio::buffer(text), {asio::ip::make_address(relay.address), relay.port});
         std::string received(100, '\0');
         error_code failed;
-        for (auto left = silence_time; left.count() > 0; left -= milliseconds{5}) {
+        for (auto left = no_answer_timeout; left.count() > 0; left -= milliseconds{5}) {
             io_.run_for(milliseconds{5});
             const auto size = datagrams_.receive(asio::buffer(received), 0, failed);
             if (!failed) {
@@ -55,7 +55,7 @@
     std::optional<link_server> link_;
 };
 
-/// Guards against bytes that the relay loses, repeats or puts out of order.
+/// Guards against bytes that the relay loses, duplicates or reorders.
 TEST_F(EchoBehindLink, KeepsOrderAndContent) {
     auto connection = client();
     const Json::Value large{std::string(1'000'000, 'x') + "end"};
@@ -65,31 +65,32 @@
     }
 }
 
-/// Guards against a cut that lets bytes through and against one that never heals.
+/// Guards against a cut that passes bytes, and against one that cannot be healed.
 TEST_F(EchoBehindLink, CutHoldsUntilHealed) {
     auto before = client();
     echo(before, 1);
     fault(R"({"cut":[["near","far"]]})");
-    EXPECT_TRUE(echo(before, 2, silence_time).isNull());
+    EXPECT_TRUE(echo(before, 2, no_answer_timeout).isNull());
     auto during = client();
-    EXPECT_TRUE(echo(during, 3, silence_time).isNull());
+    EXPECT_TRUE(echo(during, 3, no_answer_timeout).isNull());
     EXPECT_EQ(send_datagram("lost"), "");
     fault(R"({"heal_all":true})");
     auto after = client();
     EXPECT_EQ(echo(after, 4).asInt(), 4);
 }
 
-/// Guards against a silenced connection that recovers, or that takes new ones with it.
-TEST_F(EchoBehindLink, SilenceIsForGood) {
+/// Guards against a silenced connection that recovers, and against new connections that are
+/// silenced, too.
+TEST_F(EchoBehindLink, SilenceIsPermanent) {
     auto before = client();
     echo(before, 1);
     fault(R"({"silence":[["near","far"]]})");
-    EXPECT_TRUE(echo(before, 2, silence_time).isNull());
+    EXPECT_TRUE(echo(before, 2, no_answer_timeout).isNull());
     auto after = client();
     EXPECT_EQ(echo(after, 3).asInt(), 3);
 }
 
-/// Guards against datagrams that are dropped without a cut.
+/// Guards against a relay that drops all datagrams without a cut.
 TEST_F(EchoBehindLink, DatagramsArrive) {
     std::string received;
     while (received.empty()) {
--- a/tests/adapters/platform_server_test.cpp
+++ b/tests/adapters/platform_server_test.cpp
@@ -13,7 +13,7 @@
 
 class CompareAndSwap : public testing::TestWithParam<swap_case> {};
 
-/// Guards against a lost update: a write on top of a version that its writer has not seen.
+/// Guards against a lost update: a write that replaces a version which its writer has not read.
 TEST_P(CompareAndSwap, WritesOnlyOnTheSeenVersion) {
     key_value_store store;
     for (std::size_t i = 0; i < GetParam().versions.size(); ++i) {
@@ -33,7 +33,7 @@
                                          swap_case{"ahead", {5, 0, 2}, {conflict, ok, conflict}}),
                          [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a lease that is readable after its end, or a version that falls back.
+/// Guards against a lease that is readable after it expired, and against a version that decreases.
 TEST(KeyValueStore, ExpiredLeaseIsNotFound) {
     using std::chrono::seconds;
     key_value_store store;
@@ -58,7 +58,7 @@
         settings.listen = any_port();
         return settings;
     }
-    Json::Value call(const char* text, milliseconds timeout = answer_time) {
+    Json::Value call(const char* text, milliseconds timeout = answer_timeout) {
         http_client client{io_, server_.local(), {}};
         return post(io_, client, "/store", json_of(text), timeout);
     }
@@ -66,12 +66,12 @@
         http_client client{io_, server_.local(), {}};
         post(io_, client, target, json_of(text));
     }
-    /// @brief Answer of @a waiting, which is sent before @a change.
+    /// @brief Sends the call @a waiting, runs @a change and returns the answer to the call.
     template <class Change>
     Json::Value call_around(const char* waiting, Change change) {
         http_client client{io_, server_.local(), {}};
         std::optional<Json::Value> answer;
-        asio::co_spawn(io_, client.post("/store", json_of(waiting), answer_time),
+        asio::co_spawn(io_, client.post("/store", json_of(waiting), answer_timeout),
                        [&](std::exception_ptr, Json::Value value) { answer = value; });
         change();
         while (!answer) {
@@ -84,7 +84,7 @@
     platform_server server_{io_, settings()};
 };
 
-/// Guards against a watch that misses the change that it waits for.
+/// Guards against a watch that misses a change of its key.
 TEST_F(PlatformServer, WatchAnswersOnChange) {
     const auto seen =
         call_around(R"({"operation":"watch","key":"config","version":0,"wait_us":30000000})", [&] {
@@ -93,27 +93,27 @@
     EXPECT_EQ(seen["value"], "new");
 }
 
-/// Guards against a lost answer whose write was not made.
+/// Guards against a lost answer whose write did not take effect.
 TEST_F(PlatformServer, LostAnswerHasTakenEffect) {
     control("/fault", R"({"lose_answers":1})");
     const char* const swap = R"({"operation":"compare_and_swap","key":"k","value":"1"})";
-    EXPECT_TRUE(call(swap, silence_time).isNull());
+    EXPECT_TRUE(call(swap, no_answer_timeout).isNull());
     EXPECT_EQ(call(swap)["status"], "conflict");
     EXPECT_EQ(call(R"({"operation":"read","key":"k"})")["value"], "1");
 }
 
-/// Guards against an outage that still serves calls or never ends.
+/// Guards against an outage that still serves calls, and against one that does not end.
 TEST_F(PlatformServer, OutageServesNothing) {
     const char* const read = R"({"operation":"read","key":"k"})";
     control("/fault", R"({"outage_ms":60000,"outage":"silent"})");
-    EXPECT_TRUE(call(read, silence_time).isNull());
+    EXPECT_TRUE(call(read, no_answer_timeout).isNull());
     control("/fault", R"({"outage_ms":60000,"outage":"error"})");
     EXPECT_TRUE(call(read).isMember("error"));
     control("/fault", R"({"outage_ms":0})");
     EXPECT_EQ(call(read)["status"], "not_found");
 }
 
-/// Guards against a list that shows a change before its lag or not at all.
+/// Guards against a VM list that shows a change before its lag has passed or not at all.
 TEST_F(PlatformServer, VmListLags) {
     const char* const list = R"({"operation":"list_vms","version":1,"wait_us":30000000})";
     control("/fault", R"({"list_lag_ms":60000})");
@@ -126,13 +126,13 @@
     EXPECT_EQ(seen["vms"][0]["vm"], "prompt");
 }
 
-/// Guards against calls that the bill counts but the counters miss.
+/// Guards against calls that are billed but missing from the counters, refused calls included.
 TEST_F(PlatformServer, EveryCallIsCounted) {
     call(R"({"operation":"read","key":"k"})");
     control("/fault", R"({"writes_per_second":0})");
     call(R"({"operation":"renew_lease","key":"k"})");
     http_client client{io_, server_.local(), {}};
-    const auto counts = run(io_, client.get("/inspect", answer_time));
+    const auto counts = run(io_, client.get("/inspect", answer_timeout));
     EXPECT_EQ(counts["calls"]["read"].asUInt(), 1U);
     EXPECT_EQ(counts["calls"]["renew_lease"].asUInt(), 1U);
     EXPECT_EQ(counts["refused"].asUInt(), 1U);
--- a/tests/adapters/standin_test.hpp
+++ b/tests/adapters/standin_test.hpp
@@ -31,14 +31,14 @@
     return std::move(*value);
 }
 
-/// @brief Generous bound for calls that are expected to be answered.
-inline constexpr milliseconds answer_time{10'000};
-/// @brief Time in which a call that has to stay unanswered is observed.
-inline constexpr milliseconds silence_time{60};
+/// @brief Timeout of calls that are expected to be answered.
+inline constexpr milliseconds answer_timeout{10'000};
+/// @brief Time after which a call that must not be answered counts as unanswered.
+inline constexpr milliseconds no_answer_timeout{60};
 
-/// @brief POST of the JSON text @a body to @a target; null when there is no answer.
+/// @brief Sends a POST of @a body to @a target; returns null when there is no answer.
 inline Json::Value post(asio::io_context& io, http_client& client, std::string target,
-                        const Json::Value& body, milliseconds timeout = answer_time) {
+                        const Json::Value& body, milliseconds timeout = answer_timeout) {
     return run(io, client.post(std::move(target), body, timeout));
 }
 
