--- a/src/standins/jackdawvane-load/caller_client.cpp
+++ b/src/standins/jackdawvane-load/caller_client.cpp
@@ -6,20 +6,20 @@
 
 namespace {
 
-// Covers the network and the proxy's own delay past the deadline.
-constexpr milliseconds answer_grace{1000};
+// Time past the deadline for the network and for the proxy to send its answer.
+constexpr milliseconds timeout_margin{1000};
 
 http_client::header_fields fields_of(const caller_call& call) {
     http_client::header_fields fields{
         {"Jackdawvane-Deadline-Ms", std::to_string(call.deadline_ms)}};
-    if (!call.key.empty()) {
-        fields["Authorization"] = "Bearer " + call.key;
+    if (!call.api_key.empty()) {
+        fields["Authorization"] = "Bearer " + call.api_key;
     }
     if (!call.session.empty()) {
         fields["Jackdawvane-Session"] = call.session;
     }
-    if (!call.name.empty()) {
-        fields["Idempotency-Key"] = call.name;
+    if (!call.idempotency_key.empty()) {
+        fields["Idempotency-Key"] = call.idempotency_key;
     }
     if (call.max_staleness_ms) {
         fields["Jackdawvane-Max-Staleness-Ms"] = std::to_string(*call.max_staleness_ms);
@@ -63,7 +63,7 @@
 } // namespace
 
 awaitable<caller_reply> send_call(http_client& client, caller_call call) {
-    const auto timeout = milliseconds{call.deadline_ms} + answer_grace;
+    const auto timeout = milliseconds{call.deadline_ms} + timeout_margin;
     const auto reply = co_await client.request("POST", call.target, write_json(call.body), timeout,
                                                fields_of(call));
     if (!reply) {
--- a/src/standins/jackdawvane-load/caller_client.hpp
+++ b/src/standins/jackdawvane-load/caller_client.hpp
@@ -13,9 +13,9 @@
 /// @brief One request of the caller API.
 struct caller_call {
     std::string target;
-    std::string key;
+    std::string api_key;
     std::string session;
-    std::string name;
+    std::string idempotency_key;
     std::uint32_t deadline_ms{2000};
     std::optional<std::uint32_t> max_staleness_ms;
     Json::Value body{Json::objectValue};
@@ -23,7 +23,7 @@
 
 /// @brief Answer of the caller API.
 struct caller_reply {
-    bool answered{false}; ///< False when the connection failed or no answer came in time.
+    bool answered{false}; ///< False after a connection failure, a timeout or an unreadable answer.
     outcome result{outcome::unknown};
     error_kind kind{error_kind::connection_lost}; ///< `none` for success.
     std::string message;
@@ -35,7 +35,7 @@
     bool from_replica{false};
     bool repeated{false};
 
-    /// @brief Whether the request ran and nothing went wrong.
+    /// @brief Whether the request ran without an error.
     [[nodiscard]] bool succeeded() const {
         return result == outcome::done && kind == error_kind::none;
     }
--- a/src/standins/jackdawvane-load/direct_run.hpp
+++ b/src/standins/jackdawvane-load/direct_run.hpp
@@ -10,13 +10,13 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Settings of a paired comparison of a backend server and the proxy before it.
+/// @brief Settings of a paired comparison of direct and proxied requests.
 struct direct_settings {
     route_name route;
     std::string key;
-    std::string partition; ///< Lies in the backend server's group.
+    std::string partition; ///< Must belong to the backend server's group.
     std::string address;   ///< Source address of both connections.
-    endpoint backend;      ///< Reached directly.
+    endpoint backend;      ///< Backend server for the direct requests.
     endpoint vm;           ///< Caller endpoint of an entry VM in the same failure domain.
     access_mode mode{access_mode::read};
     std::uint32_t pairs{1000};
@@ -33,7 +33,7 @@
 };
 
 /// @brief Sends the same request alternately to the backend server and through the proxy.
-/// @return latencies of both ways and quantiles of the paired differences, in microseconds
+/// @return latencies of both connections and quantiles of the paired differences, in microseconds
 awaitable<Json::Value> run_direct(asio::io_context& io, direct_settings settings);
 
 } // namespace jackdawvane::standin
--- a/src/standins/jackdawvane-load/latency.cpp
+++ b/src/standins/jackdawvane-load/latency.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 constexpr unsigned bin_count = 1600; // log(1e7) / log(1.01), so that a bin is 1% wide
-constexpr double shortest_us = 10;
-constexpr double longest_us = 1e8;
+constexpr double min_us = 10;
+constexpr double max_us = 1e8;
 
 } // namespace
 
 latency_histogram::latency_histogram()
-    : bins_{boost::histogram::make_histogram(axis{bin_count, shortest_us, longest_us})} {}
+    : bins_{boost::histogram::make_histogram(axis{bin_count, min_us, max_us})} {}
 
 void latency_histogram::add(steady_clock::duration value) {
     const double us = std::chrono::duration<double, std::micro>{value}.count();
-    bins_(std::max(us, shortest_us));
+    bins_(std::max(us, min_us));
     highest_ = std::max(highest_, us);
     ++count_;
 }
 
 double latency_histogram::quantile(double share) const {
-    const double wanted = std::max(1.0, std::ceil(share * static_cast<double>(count_)));
-    double passed{0};
+    const double target_rank = std::max(1.0, std::ceil(share * static_cast<double>(count_)));
+    double cumulative_count{0};
     for (const auto& bin : boost::histogram::indexed(bins_)) {
-        passed += static_cast<double>(*bin);
-        if (passed >= wanted) {
+        cumulative_count += static_cast<double>(*bin);
+        if (cumulative_count >= target_rank) {
             return std::min(bin.bin().upper(), highest_);
         }
     }
--- a/src/standins/jackdawvane-load/load_run.cpp
+++ b/src/standins/jackdawvane-load/load_run.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Sessions past the number that the think time implies, for requests that take long.
-constexpr double session_reserve = 4;
-constexpr std::size_t least_sessions = 8;
+// Allows more sessions than the think time implies, because slow requests occupy theirs longer.
+constexpr double session_headroom_factor = 4;
+constexpr std::size_t min_sessions = 8;
 constexpr milliseconds inspect_timeout{20'000};
-// Time in which replicas catch up and deposed primaries drop their tails.
+// Lets replicas catch up and replaced primaries roll back what their successors lack.
 constexpr milliseconds settle_time{500};
 
 } // namespace
@@ -21,8 +21,8 @@
     for (const auto& backend : configured.backends) {
         context_.group_of[backend.id.str()] = backend.group;
     }
-    context_.run = std::to_string(configured.seed) + "-" +
-                   std::to_string(steady_clock::now().time_since_epoch().count());
+    context_.run_id = std::to_string(configured.seed) + "-" +
+                      std::to_string(steady_clock::now().time_since_epoch().count());
     if (configured.control) {
         control_.emplace(
             io, *configured.control,
@@ -37,9 +37,9 @@
 }
 
 double load_run::arrivals_now(const organisation_load& organisation) const {
-    const auto passed = steady_clock::now() - started_;
-    const bool overload = passed >= milliseconds{organisation.overload_from_ms} &&
-                          passed < milliseconds{organisation.overload_to_ms};
+    const auto elapsed = steady_clock::now() - started_;
+    const bool overload = elapsed >= milliseconds{organisation.overload_from_ms} &&
+                          elapsed < milliseconds{organisation.overload_to_ms};
     return organisation.arrivals_per_second * (overload ? organisation.overload_factor : 1);
 }
 
@@ -54,9 +54,10 @@
     const auto& settings = context_.settings;
     const auto highest_rate =
         organisation.arrivals_per_second * std::max(1.0, organisation.overload_factor);
-    const auto implied = highest_rate * settings.think_ms / 1000;
-    const auto limit = least_sessions + static_cast<std::size_t>(implied * session_reserve);
-    const auto base = std::max<std::size_t>(
+    const auto expected_sessions = highest_rate * settings.think_ms / 1000;
+    const auto max_sessions =
+        min_sessions + static_cast<std::size_t>(expected_sessions * session_headroom_factor);
+    const auto base_sessions = std::max<std::size_t>(
         1, static_cast<std::size_t>(organisation.arrivals_per_second * settings.think_ms / 1000));
     std::size_t sessions{0};
     auto& idle = idle_[organisation.id];
@@ -72,12 +73,13 @@
         if (next > steady_clock::now()) {
             co_await sleep_for(next - steady_clock::now());
         }
-        // The longest idle session comes next, so that each pauses for the think time.
-        if (sessions < base || (idle.empty() && sessions < limit)) {
+        // Reuses the session that has been idle longest, so that each one pauses for the think
+        // time.
+        if (sessions < base_sessions || (idle.empty() && sessions < max_sessions)) {
             const auto& key = organisation.keys.at(sessions % organisation.keys.size());
-            // The run's name keeps the keys of two runs on one bench apart.
+            // The run id keeps the keys of two runs on the same backend servers apart.
             const auto name =
-                organisation.id.str() + "-" + context_.run + "-" + std::to_string(++sessions);
+                organisation.id.str() + "-" + context_.run_id + "-" + std::to_string(++sessions);
             idle.push_front(std::make_unique<load_session>(context_, organisation, name, key));
         }
         if (idle.empty()) {
--- a/src/standins/jackdawvane-load/load_run.hpp
+++ b/src/standins/jackdawvane-load/load_run.hpp
@@ -12,10 +12,10 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Instant of a fault; body of `POST /mark` without its time.
+/// @brief Time of an injected fault; `POST /mark` has the name and the group in its body.
 struct fault_mark {
     std::string name;
-    group_id group; ///< Group that the fault meets; empty for all.
+    group_id group; ///< Group that the fault affects; empty for all.
     steady_clock::time_point at;
 
     static constexpr auto fields() {
@@ -23,12 +23,12 @@
     }
 };
 
-/// @brief Open-loop load of all organisations with its checks.
+/// @brief Generates open-loop load for all organisations and checks the answers.
 class load_run : private boost::noncopyable {
   public:
     load_run(asio::io_context& io, load_settings settings);
 
-    /// @brief Adds the instant of a fault, @a after the start of the run.
+    /// @brief Records a fault at the time @a after the start of the run.
     void add_mark(milliseconds after);
     /// @brief Runs the load and all checks.
     /// @return the results
--- a/src/standins/jackdawvane-load/load_settings.hpp
+++ b/src/standins/jackdawvane-load/load_settings.hpp
@@ -11,17 +11,17 @@
 
 namespace jackdawvane::standin {
 
-/// @brief One organisation's callers.
+/// @brief Load of one organisation.
 struct organisation_load {
     organisation_id id;
-    std::vector<std::string> keys;  ///< Keys in clear, used in turn by its sessions.
+    std::vector<std::string> keys;  ///< API keys in plain text, assigned to its sessions in turn.
     double arrivals_per_second{10}; ///< Offered requests, open loop.
-    double rate{0};                 ///< Its limit in the configuration; 0 checks none.
+    double rate{0};                 ///< Configured rate limit; 0 disables the check.
     double burst{0};
-    double overload_factor{1}; ///< Multiplies the arrivals during the overload.
+    double overload_factor{1}; ///< Factor on the arrivals during the overload.
     std::uint32_t overload_from_ms{0};
     std::uint32_t overload_to_ms{0};
-    std::vector<double> vm_weights; ///< Spread over the VMs; empty for an even one.
+    std::vector<double> vm_weights; ///< Distribution over the VMs; empty for uniform.
 
     static constexpr auto fields() {
         using self = organisation_load;
@@ -53,22 +53,22 @@
 /// @brief Settings of a load run.
 struct load_settings {
     route_name route;
-    std::string address;                     ///< Source address; its place is the clients'.
-    std::vector<endpoint> vms;               ///< Caller endpoints of the entry VMs.
-    std::vector<inspected_backend> backends; ///< Empty leaves the logs unchecked.
+    std::string address;       ///< Source address of the clients; it determines their location.
+    std::vector<endpoint> vms; ///< Caller endpoints of the entry VMs.
+    std::vector<inspected_backend> backends; ///< Logs to check; empty skips the check.
     std::vector<organisation_load> organisations;
-    std::optional<endpoint> control; ///< Where fault instants are posted.
+    std::optional<endpoint> control; ///< Listens for `POST /mark` and other control requests.
     std::uint32_t duration_ms{10'000};
     std::uint64_t max_requests{100'000};
     std::uint32_t think_ms{1000}; ///< Mean pause of a session between two requests.
     std::uint32_t deadline_ms{2000};
-    std::uint32_t give_up_ms{10'000};              ///< Retries of one request end after this time.
-    std::uint32_t max_attempts{50};                ///< Attempts of one request.
-    std::uint32_t partitions{12};                  ///< Partition keys in use.
-    double write_share{0.1};                       ///< Share of writes among the requests.
-    double transaction_share{0.01};                ///< Share of interactive transactions.
-    std::uint32_t roam_every{5};                   ///< Requests of a session on one VM.
-    std::optional<std::uint32_t> max_staleness_ms; ///< Reads without a session use it.
+    std::uint32_t give_up_ms{10'000}; ///< Retries of one request end after this time.
+    std::uint32_t max_attempts{50};   ///< Attempts of one request.
+    std::uint32_t partitions{12};     ///< Partition keys in use.
+    double write_share{0.1};          ///< Share of writes among the requests.
+    double transaction_share{0.01};   ///< Share of interactive transactions.
+    std::uint32_t roam_every{5};      ///< Requests of a session before it switches to another VM.
+    std::optional<std::uint32_t> max_staleness_ms; ///< Staleness bound of reads without a session.
     double sessionless_share{0};                   ///< Share of reads without a session.
     std::uint64_t seed{1};
 
--- a/src/standins/jackdawvane-load/measurements.cpp
+++ b/src/standins/jackdawvane-load/measurements.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kept_violations = 10;
+constexpr std::size_t max_violation_examples = 10;
 
 Json::Value counts_json(const std::map<std::string, std::uint64_t>& counts) {
     Json::Value json{Json::objectValue};
@@ -86,11 +86,11 @@
     replica_reads_ += from_replica ? 1U : 0U;
 }
 
-void measurements::violation(const std::string& check, const std::string& detail) {
+void measurements::add_violation(const std::string& check, const std::string& detail) {
     ++violation_counts_[check];
-    auto& kept = violations_[check];
-    if (kept.size() < kept_violations) {
-        kept.push_back(detail);
+    auto& examples = violations_[check];
+    if (examples.size() < max_violation_examples) {
+        examples.push_back(detail);
     }
 }
 
@@ -98,12 +98,12 @@
     const double seconds = std::max(0.001, std::chrono::duration<double>{elapsed}.count());
     Json::Value json;
     json["seconds"] = seconds;
-    double worst_served = std::numeric_limits<double>::max();
+    double lowest_served_share = std::numeric_limits<double>::max();
     for (const auto& [id, measured] : organisations_) {
         json["organisations"][id.str()] = organisation_json(measured, seconds);
-        worst_served = std::min(worst_served, share(measured.done, measured.offered));
+        lowest_served_share = std::min(lowest_served_share, share(measured.done, measured.offered));
     }
-    json["worst_served_share"] = organisations_.empty() ? 0 : worst_served;
+    json["worst_served_share"] = organisations_.empty() ? 0 : lowest_served_share;
     json["latency"] = Json::objectValue;
     for (const auto& [kind, histogram] : latencies_) {
         json["latency"][kind] = histogram.summary();
--- a/src/standins/jackdawvane-load/measurements.hpp
+++ b/src/standins/jackdawvane-load/measurements.hpp
@@ -14,7 +14,7 @@
 
 namespace jackdawvane::standin {
 
-/// @brief One token bucket for all arrivals of an organisation, as a reference for refusals.
+/// @brief Token bucket over all arrivals of an organisation, to detect wrongful rate refusals.
 class reference_bucket {
   public:
     reference_bucket(double rate, double burst) : rate_{rate}, burst_{burst}, tokens_{burst} {}
@@ -29,7 +29,7 @@
     steady_clock::time_point filled_{};
 };
 
-/// @brief What the callers of one organisation experienced.
+/// @brief Results of the requests of one organisation.
 struct organisation_measurements {
     explicit organisation_measurements(const organisation_load& load)
         : bucket{load.rate, load.burst}, limited{load.rate > 0} {}
@@ -40,9 +40,9 @@
     std::uint64_t attempts{0};  ///< Requests and retries.
     std::uint64_t done{0};      ///< Requests that were answered with success.
     std::uint64_t rejected{0};  ///< Requests that ended with a typed error.
-    std::uint64_t abandoned{0}; ///< Requests that gave up.
+    std::uint64_t abandoned{0}; ///< Requests without success within their retries.
     std::uint64_t skipped{0};   ///< Arrivals without a free session.
-    std::uint64_t wrongful{0};  ///< Attempts refused for the rate although within it.
+    std::uint64_t wrongful{0};  ///< Attempts within the rate limit that were refused as over it.
     std::map<std::string, std::uint64_t> refusals; ///< "not run" answers by error kind.
     std::map<std::string, std::uint64_t> unknowns; ///< "unknown" answers by error kind.
     latency_histogram latency;
@@ -62,7 +62,7 @@
     }
     void count_read(bool from_replica);
     /// @brief Records that the check named @a check failed.
-    void violation(const std::string& check, const std::string& detail);
+    void add_violation(const std::string& check, const std::string& detail);
     void count(const std::string& name) { ++counters_[name]; }
     order_book& orders() noexcept { return orders_; }
 
@@ -80,7 +80,7 @@
     order_book orders_;
 };
 
-/// @brief Readable form of the results of a run.
+/// @brief Formats the results of a run as text tables.
 [[nodiscard]] std::string results_table(const Json::Value& results);
 
 } // namespace jackdawvane::standin
--- a/src/standins/jackdawvane-load/order_book.cpp
+++ b/src/standins/jackdawvane-load/order_book.cpp
@@ -56,17 +56,17 @@
 
 Json::Value order_book::check(const std::vector<std::vector<std::string>>& logs) const {
     const auto runs = count_runs(logs);
-    std::map<order_fate, std::uint64_t> totals;
+    std::map<order_result, std::uint64_t> totals;
     violation_list missing;
     violation_list refused_but_run;
     violation_list run_twice;
-    for (const auto& [name, fate] : fates_) {
-        ++totals[fate];
+    for (const auto& [name, result] : results_) {
+        ++totals[result];
         const bool ran = runs.contains(name);
-        if (fate == order_fate::acknowledged && !ran) {
+        if (result == order_result::acknowledged && !ran) {
             missing.add(name);
         }
-        if (fate == order_fate::not_run && ran) {
+        if (result == order_result::not_run && ran) {
             refused_but_run.add(name);
         }
     }
@@ -76,9 +76,9 @@
         }
     }
     Json::Value json;
-    json["acknowledged"] = Json::UInt64{totals[order_fate::acknowledged]};
-    json["not_run"] = Json::UInt64{totals[order_fate::not_run]};
-    json["unknown"] = Json::UInt64{totals[order_fate::unknown]};
+    json["acknowledged"] = Json::UInt64{totals[order_result::acknowledged]};
+    json["not_run"] = Json::UInt64{totals[order_result::not_run]};
+    json["unknown"] = Json::UInt64{totals[order_result::unknown]};
     json["acknowledged_but_missing"] = missing.json();
     json["not_run_but_run"] = refused_but_run.json();
     json["run_twice"] = run_twice.json();
--- a/src/standins/jackdawvane-load/session_view.cpp
+++ b/src/standins/jackdawvane-load/session_view.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 std::string session_view::own_key() const {
-    return "own/" + session_ + "/" + partition_ + "/" + std::to_string(epoch_);
+    return "own/" + session_ + "/" + partition_ + "/" + std::to_string(key_generation_);
 }
 
 std::string session_view::value_of(std::uint64_t number) const {
@@ -34,10 +34,10 @@
 }
 
 Json::Value session_view::next_write() {
-    ++attempted_;
+    ++last_attempted_;
     Json::Value statements;
     statements.append(statement("put", own_key()));
-    statements[0]["value"] = value_of(attempted_);
+    statements[0]["value"] = value_of(last_attempted_);
     statements.append(statement("add", counter_key()));
     statements[1]["value"] = 1;
     return statements;
@@ -51,18 +51,18 @@
 }
 
 std::optional<std::string> session_view::check_write(const Json::Value& results) {
-    acknowledged_ = attempted_;
-    seen_ = attempted_;
+    last_acknowledged_ = last_attempted_;
+    last_seen_ = last_attempted_;
     if (!has_keys(results, own_key(), counter_key()) ||
-        results[0]["value"] != value_of(attempted_)) {
+        results[0]["value"] != value_of(last_attempted_)) {
         return "another request's answer to a write of " + own_key();
     }
     const auto counter = number_of(results[1]["value"]);
-    if (counter <= counter_) {
+    if (counter <= last_counter_) {
         return counter_key() + " fell to " + std::to_string(counter) + " after " +
-               std::to_string(counter_);
+               std::to_string(last_counter_);
     }
-    counter_ = counter;
+    last_counter_ = counter;
     return std::nullopt;
 }
 
@@ -74,39 +74,40 @@
     const auto& value = results[0]["value"];
     if (!value.isNull()) {
         const auto text = value.isString() ? value.asString() : std::string{};
-        const auto mark = text.find('#');
+        const auto separator = text.find('#');
         const auto* const end = text.data() + text.size();
-        if (text.substr(0, mark) != session_ ||
-            std::from_chars(text.data() + mark + 1, end, number).ptr != end) {
+        if (text.substr(0, separator) != session_ ||
+            std::from_chars(text.data() + separator + 1, end, number).ptr != end) {
             return own_key() + " holds a value of another session";
         }
     }
-    if (number > attempted_) {
+    if (number > last_attempted_) {
         return own_key() + " holds a value that was never written";
     }
     if (!in_session) {
         return std::nullopt;
     }
     const auto counter = number_of(results[1]["value"]);
-    if (number < acknowledged_) {
-        return "own write " + std::to_string(acknowledged_) + " of " + own_key() + " is not read";
+    if (number < last_acknowledged_) {
+        return "own write " + std::to_string(last_acknowledged_) + " of " + own_key() +
+               " is not read";
     }
-    if (number < seen_ || counter < counter_) {
+    if (number < last_seen_ || counter < last_counter_) {
         return "reads of " + partition_ + " went backwards";
     }
-    seen_ = number;
-    counter_ = counter;
+    last_seen_ = number;
+    last_counter_ = counter;
     return std::nullopt;
 }
 
 void session_view::abandon_key() {
-    ++epoch_;
-    attempted_ = acknowledged_ = seen_ = 0;
+    ++key_generation_;
+    last_attempted_ = last_acknowledged_ = last_seen_ = 0;
 }
 
 void session_view::forget_unacknowledged() {
-    seen_ = acknowledged_;
-    counter_ = 0;
+    last_seen_ = last_acknowledged_;
+    last_counter_ = 0;
 }
 
 } // namespace jackdawvane::standin
--- a/src/standins/jackdawvane-load/session_view.hpp
+++ b/src/standins/jackdawvane-load/session_view.hpp
@@ -8,10 +8,10 @@
 
 namespace jackdawvane::standin {
 
-/// @brief What one session may see in one partition: its own key and a shared counter.
+/// @brief Checks the session consistency of one session in one partition.
 ///
-/// The session writes rising numbers to its own key and adds to the counter that all sessions
-/// share; both rise for a session that reads its own writes and reads monotonically.
+/// The session writes increasing numbers to its own key and increments a counter that all sessions
+/// share. With read-your-writes and monotonic reads, neither value ever decreases for the session.
 class session_view {
   public:
     /// @param session unique name of the session
@@ -19,22 +19,21 @@
         : session_{std::move(session)}, partition_{std::move(partition)} {}
 
     [[nodiscard]] const std::string& partition() const noexcept { return partition_; }
-    /// @brief Statements of the next write.
     [[nodiscard]] Json::Value next_write();
-    /// @brief Statements of a read.
     [[nodiscard]] Json::Value read() const;
 
     /// @brief Checks the answer to the last write.
-    /// @return what is wrong, or nothing
+    /// @return description of a violation, or nothing
     [[nodiscard]] std::optional<std::string> check_write(const Json::Value& results);
     /// @brief Checks the answer to a read.
     /// @param in_session whether the read carried the session's token
-    /// @return what is wrong, or nothing
+    /// @return description of a violation, or nothing
     [[nodiscard]] std::optional<std::string> check_read(const Json::Value& results,
                                                         bool in_session);
-    /// @brief The last write may still run later; another key is used from now on.
+    /// @brief Switches to a new key, because the last write may still run later.
     void abandon_key();
-    /// @brief The server has told that what was seen but not acknowledged is lost.
+    /// @brief Drops values that were read but not acknowledged, after the server reported them
+    /// lost.
     void forget_unacknowledged();
 
   private:
@@ -44,11 +43,11 @@
 
     std::string session_;
     std::string partition_;
-    std::uint64_t epoch_{0};
-    std::uint64_t attempted_{0};
-    std::uint64_t acknowledged_{0};
-    std::uint64_t seen_{0};
-    std::int64_t counter_{0};
+    std::uint64_t key_generation_{0};
+    std::uint64_t last_attempted_{0};
+    std::uint64_t last_acknowledged_{0};
+    std::uint64_t last_seen_{0};
+    std::int64_t last_counter_{0};
 };
 
 } // namespace jackdawvane::standin
--- a/tests/adapters/load_checks_test.cpp
+++ b/tests/adapters/load_checks_test.cpp
@@ -13,17 +13,17 @@
 
 struct book_case {
     const char* name;
-    order_fate fate;
-    unsigned runs; ///< Times that the order is in the primary's log.
+    order_result result;
+    unsigned runs; ///< Occurrences of the order in the primary's log.
     const char* violation;
 };
 
 class OrderChecks : public testing::TestWithParam<book_case> {};
 
-/// Guards against a checker that misses a lost, repeated or wrongly refused order.
+/// Guards against a checker that misses an order that is lost, ran twice or ran after "not run".
 TEST_P(OrderChecks, ReportExactlyTheirViolation) {
     order_book book;
-    book.record("order-1", GetParam().fate);
+    book.record("order-1", GetParam().result);
     const std::vector<std::string> log(GetParam().runs, "depot/order-1");
     const auto found = book.check({{"other"}, log});
     for (const std::string check : {"acknowledged_but_missing", "not_run_but_run", "run_twice"}) {
@@ -33,16 +33,17 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Load, OrderChecks,
-    testing::Values(book_case{"kept", order_fate::acknowledged, 1, ""},
-                    book_case{"lost", order_fate::acknowledged, 0, "acknowledged_but_missing"},
-                    book_case{"doubled", order_fate::unknown, 2, "run_twice"},
-                    book_case{"unknown_run", order_fate::unknown, 1, ""},
-                    book_case{"unknown_not_run", order_fate::unknown, 0, ""},
-                    book_case{"refused", order_fate::not_run, 0, ""},
-                    book_case{"refused_but_run", order_fate::not_run, 1, "not_run_but_run"}),
+    testing::Values(book_case{"kept", order_result::acknowledged, 1, ""},
+                    book_case{"lost", order_result::acknowledged, 0, "acknowledged_but_missing"},
+                    book_case{"doubled", order_result::unknown, 2, "run_twice"},
+                    book_case{"unknown_run", order_result::unknown, 1, ""},
+                    book_case{"unknown_not_run", order_result::unknown, 0, ""},
+                    book_case{"refused", order_result::not_run, 0, ""},
+                    book_case{"refused_but_run", order_result::not_run, 1, "not_run_but_run"}),
     [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a gap that ends with an answer that the old primary gave before the fault.
+/// Guards against a failover gap that ends too early, with the old primary's answer to an order
+/// that was sent before the fault.
 TEST(OrderBook, GapEndsWithAnOrderSentAfterTheFault) {
     order_book book;
     const order_book::time fault{seconds{10}};
@@ -53,7 +54,7 @@
     EXPECT_TRUE(book.gap_after(fault + seconds{5}, {})["g1"].isNull());
 }
 
-/// Guards against a reference that calls refusals above the limit wrongful, or the reverse.
+/// Guards against a reference that counts justified refusals as wrongful, or wrongful as justified.
 TEST(ReferenceBucket, CountsRateAndBurst) {
     reference_bucket bucket{2, 3};
     const order_book::time now{seconds{100}};
@@ -80,7 +81,7 @@
 
 class SessionReads : public testing::TestWithParam<read_case> {};
 
-/// Guards against stale, foreign or backward reads that pass the check.
+/// Guards against a check that accepts stale reads, other sessions' values or backward reads.
 TEST_P(SessionReads, AreCheckedAgainstTheSession) {
     session_view view{"s", "p"};
     for (int counter = 4; counter < 6; ++counter) {
@@ -102,7 +103,7 @@
                                          read_case{"foreign", "t#2", 5, false}),
                          [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against an answer to another request that counts as this one's.
+/// Guards against a check that accepts the answer to another request.
 TEST(SessionView, ForeignAnswersAreNoticed) {
     session_view view{"s", "p"};
     session_view other{"t", "p"};
@@ -113,7 +114,7 @@
     EXPECT_TRUE(view.check_write(foreign));
 }
 
-/// Guards against an abandoned order that runs late and looks like a lost own write.
+/// Guards against a late abandoned write that is reported as a lost own write.
 TEST(SessionView, AbandonedKeyIsNotReadAgain) {
     session_view view{"s", "p"};
     const auto before = view.next_write();
@@ -121,7 +122,7 @@
     EXPECT_NE(view.next_write()[0]["key"], before[0]["key"]);
 }
 
-/// Guards against quantiles that miss the value by more than a bin.
+/// Guards against quantiles that are off by more than one bin.
 TEST(LatencyHistogram, QuantilesAreWithinABin) {
     latency_histogram histogram;
     for (int ms = 1; ms <= 100; ++ms) {
