--- a/src/standins/jackdawvane-site/lease_store.cpp
+++ b/src/standins/jackdawvane-site/lease_store.cpp
@@ -10,9 +10,9 @@
 }
 
 lease_store::outcome lease_store::apply(const store_transaction& change) {
-    for (const auto& [key, wanted] : change.expected) {
-        const auto* const present = find(key);
-        if ((present == nullptr ? 0 : present->revision) != wanted) {
+    for (const auto& [key, expected_revision] : change.expected) {
+        const auto* const current = find(key);
+        if ((current == nullptr ? 0 : current->revision) != expected_revision) {
             return outcome::conflict;
         }
     }
@@ -34,7 +34,7 @@
     auto& item = items_[key];
     item.value = std::move(value);
     item.revision = ++revision_;
-    item.created = item.created == 0 ? revision_ : item.created;
+    item.created_revision = item.created_revision == 0 ? revision_ : item.created_revision;
     item.lease = lease_number;
     history_.push_back({key, revision_, item});
 }
@@ -45,21 +45,21 @@
     }
 }
 
-std::uint64_t lease_store::grant(milliseconds life, time now) {
-    leases_[++last_lease_] = {life, now + life};
+std::uint64_t lease_store::grant(milliseconds ttl, time now) {
+    leases_[++last_lease_] = {ttl, now + ttl};
     return last_lease_;
 }
 
-bool lease_store::keep(std::uint64_t number, time now) {
+bool lease_store::renew(std::uint64_t number, time now) {
     const auto found = leases_.find(number);
     if (found == leases_.end()) {
         return false;
     }
-    found->second.end = now + found->second.life;
+    found->second.expires_at = now + found->second.ttl;
     return true;
 }
 
-void lease_store::end(std::uint64_t number) {
+void lease_store::revoke(std::uint64_t number) {
     leases_.erase(number);
     std::vector<std::string> keys;
     for (const auto& [key, item] : items_) {
@@ -73,20 +73,20 @@
 }
 
 void lease_store::expire(time now) {
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> expired;
     for (const auto& [number, each] : leases_) {
-        if (each.end <= now) {
-            over.push_back(number);
+        if (each.expires_at <= now) {
+            expired.push_back(number);
         }
     }
-    for (const auto number : over) {
-        end(number);
+    for (const auto number : expired) {
+        revoke(number);
     }
 }
 
 std::optional<std::vector<item_change>> lease_store::changes(const std::string& prefix,
                                                              std::uint64_t revision) const {
-    if (revision < forgotten_) {
+    if (revision < compacted_revision_) {
         return {};
     }
     std::vector<item_change> found;
@@ -97,9 +97,9 @@
     return found;
 }
 
-void lease_store::forget_history() {
+void lease_store::compact_history() {
     history_.clear();
-    forgotten_ = revision_;
+    compacted_revision_ = revision_;
 }
 
 } // namespace jackdawvane::standin
--- a/src/standins/jackdawvane-site/lease_store.hpp
+++ b/src/standins/jackdawvane-site/lease_store.hpp
@@ -11,22 +11,22 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Item of the store.
+/// @brief Value of a key in the store with its metadata.
 struct stored_item {
     std::string value; ///< Base64 text, as written.
     std::uint64_t revision{0};
-    std::uint64_t created{0};
+    std::uint64_t created_revision{0};
     std::uint64_t lease{0}; ///< 0: none.
 };
 
-/// @brief Change of an item; removed when it has no item.
+/// @brief Change of a key; without an item, the key was removed.
 struct item_change {
     std::string key;
     std::uint64_t revision{0};
     std::optional<stored_item> item;
 };
 
-/// @brief All-or-nothing change.
+/// @brief Atomic change with preconditions on the revisions of keys.
 struct store_transaction {
     struct write {
         std::string key;
@@ -38,7 +38,7 @@
     std::vector<std::string> removed;
 };
 
-/// @brief Items with one revision counter, leases and a history of changes. No I/O.
+/// @brief Key-value store with one revision counter, leases and a change history. No I/O.
 class lease_store {
   public:
     using time = steady_clock::time_point;
@@ -52,30 +52,33 @@
     void put(const std::string& key, std::string value, std::uint64_t lease_number = 0);
     void remove(const std::string& key);
 
-    /// @brief A new lease of @a life; its number.
-    std::uint64_t grant(milliseconds life, time now);
-    /// @return whether the lease exists
-    bool keep(std::uint64_t number, time now);
-    void end(std::uint64_t number);
-    /// @brief Ends the leases that have run out, with their items.
+    /// @brief Grants a lease that expires after @a ttl unless it is renewed.
+    /// @return number of the lease
+    std::uint64_t grant(milliseconds ttl, time now);
+    /// @brief Extends the lease by its time to live.
+    /// @return false when the lease does not exist
+    bool renew(std::uint64_t number, time now);
+    void revoke(std::uint64_t number);
+    /// @brief Removes the expired leases and the items attached to them.
     void expire(time now);
 
-    /// @brief Changes of keys with @a prefix after @a revision; nothing when they are forgotten.
+    /// @brief Changes of keys with @a prefix after @a revision; nothing if the history was
+    /// compacted.
     [[nodiscard]] std::optional<std::vector<item_change>> changes(const std::string& prefix,
                                                                   std::uint64_t revision) const;
-    void forget_history();
+    void compact_history();
 
   private:
     struct lease {
-        milliseconds life{0};
-        time end;
+        milliseconds ttl{0};
+        time expires_at;
     };
 
     std::map<std::string, stored_item> items_;
     std::map<std::uint64_t, lease> leases_;
     std::deque<item_change> history_;
     std::uint64_t revision_{1};
-    std::uint64_t forgotten_{1}; ///< Newest revision that the history does not have.
+    std::uint64_t compacted_revision_{1}; ///< Newest revision that is no longer in the history.
     std::uint64_t last_lease_{0};
 };
 
--- a/src/standins/jackdawvane-site/member_server.cpp
+++ b/src/standins/jackdawvane-site/member_server.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::size_t longest_line = std::size_t{1024} * 1024; // bytes
-/// A dark far end is noticed after this time.
-constexpr milliseconds dark_time{3000};
+constexpr std::size_t max_line_bytes = std::size_t{1024} * 1024;
+/// An unresponsive server closes a connection this long after a line arrives on it.
+constexpr milliseconds unresponsive_close_delay{3000};
 
 std::string take_word(std::string_view& text) {
     const auto end = std::min(text.find(' '), text.size());
@@ -22,13 +22,13 @@
 }
 
 std::pair<std::uint64_t, std::uint64_t> parse_position(const std::string& text) {
-    std::pair<std::uint64_t, std::uint64_t> point{0, 0};
+    std::pair<std::uint64_t, std::uint64_t> position{0, 0};
     const auto dot = std::min(text.find('.'), text.size());
-    std::from_chars(text.data(), text.data() + dot, point.first);
+    std::from_chars(text.data(), text.data() + dot, position.first);
     if (dot < text.size()) {
-        std::from_chars(text.data() + dot + 1, text.data() + text.size(), point.second);
+        std::from_chars(text.data() + dot + 1, text.data() + text.size(), position.second);
     }
-    return point;
+    return position;
 }
 
 bool is_caller(const std::string& id) {
@@ -54,7 +54,7 @@
     asio::co_spawn(io_, accept(), asio::detached);
 }
 
-void member_server::shut() {
+void member_server::close() {
     error_code ignored;
     acceptor_.close(ignored);
     for (const auto& client : sessions_) {
@@ -77,7 +77,7 @@
             co_return;
         }
         if (!failed) {
-            client->life = member().life;
+            client->incarnation = member().incarnation;
             client->peer = client->socket.remote_endpoint(failed).address().to_string();
             asio::co_spawn(io_, serve(std::move(client)), asio::detached);
         }
@@ -85,7 +85,7 @@
 }
 
 bool member_server::usable(const session& client) const {
-    return client.life == member().life && member().running() && !client.silent;
+    return client.incarnation == member().incarnation && member().running() && !client.silent;
 }
 
 awaitable<void> member_server::serve(session_ptr client) {
@@ -96,18 +96,19 @@
     for (bool open = true; open;) {
         error_code failed;
         const auto size = co_await asio::async_read_until(
-            client->socket, asio::dynamic_buffer(buffer, longest_line), "\r\n", returning(failed));
+            client->socket, asio::dynamic_buffer(buffer, max_line_bytes), "\r\n",
+            returning(failed));
         if (failed) {
             break;
         }
         auto line = buffer.substr(0, size - 2);
         buffer.erase(0, size);
         if (!usable(*client)) {
-            co_await sleep_for(dark_time);
+            co_await sleep_for(unresponsive_close_delay);
             break;
         }
-        open = started ? co_await run(client, std::move(line))
-                       : co_await start(client, std::move(line));
+        open = started ? co_await handle_statement(client, std::move(line))
+                       : co_await handle_startup(client, std::move(line));
         started = true;
     }
     error_code ignored;
@@ -116,7 +117,7 @@
     sessions_.erase(client);
 }
 
-awaitable<bool> member_server::work(session_ptr client, milliseconds time) {
+awaitable<bool> member_server::occupy_slot(session_ptr client, milliseconds time) {
     co_await slots_.acquire();
     ++member().busy;
     co_await sleep_for(time);
@@ -131,7 +132,7 @@
     co_return !failed;
 }
 
-awaitable<bool> member_server::start(session_ptr client, std::string line) {
+awaitable<bool> member_server::handle_startup(session_ptr client, std::string line) {
     std::string_view rest{line};
     const auto word = take_word(rest);
     const auto service = take_word(rest);
@@ -147,41 +148,43 @@
         co_await send(client, "ERROR TOOMANY no connection left\r\n");
         co_return false;
     }
-    if (!co_await work(client, limits_.connect_work)) {
+    if (!co_await occupy_slot(client, limits_.connect_duration)) {
         co_return false;
     }
     co_return co_await send(client, "READY I " + member().position() + "\r\n");
 }
 
 member_server::query member_server::parse(std::string_view line) {
-    query wanted;
+    query request;
     const auto word = take_word(line);
-    wanted.id = take_word(line);
-    wanted.verb = word == "QUERY" ? take_word(line) : word;
-    if (wanted.verb == "AFTER") {
-        wanted.after = take_word(line);
-        wanted.verb = take_word(line);
+    request.id = take_word(line);
+    request.verb = word == "QUERY" ? take_word(line) : word;
+    if (request.verb == "AFTER") {
+        request.after = take_word(line);
+        request.verb = take_word(line);
     }
-    wanted.rest = line;
-    return wanted;
+    request.rest = line;
+    return request;
 }
 
-awaitable<bool> member_server::run(session_ptr client, std::string line) {
-    const auto wanted = parse(line);
-    if (wanted.verb == "TERMINATE") {
+awaitable<bool> member_server::handle_statement(session_ptr client, std::string line) {
+    const auto request = parse(line);
+    if (request.verb == "TERMINATE") {
         co_return false;
     }
-    constexpr std::array<std::string_view, 6> working{"READ",   "WRITE",  "EXECUTE",
-                                                      "COMMIT", "STATUS", "BEGIN"};
-    const bool works = std::find(working.begin(), working.end(), wanted.verb) != working.end();
-    // A begin and a status take a slot for a moment only.
-    const auto time = wanted.verb == "STATUS" || wanted.verb == "BEGIN" ? milliseconds{1}
-                                                                        : limits_.statement_work;
-    if (works && !co_await work(client, time)) {
+    constexpr std::array<std::string_view, 6> slot_verbs{"READ",   "WRITE",  "EXECUTE",
+                                                         "COMMIT", "STATUS", "BEGIN"};
+    const bool uses_slot =
+        std::find(slot_verbs.begin(), slot_verbs.end(), request.verb) != slot_verbs.end();
+    // BEGIN and STATUS occupy a slot for 1 ms only.
+    const auto time = request.verb == "STATUS" || request.verb == "BEGIN"
+                          ? milliseconds{1}
+                          : limits_.statement_duration;
+    if (uses_slot && !co_await occupy_slot(client, time)) {
         co_return false;
     }
-    const auto result = execute(*client, wanted);
-    if (works && is_caller(wanted.id) && member().lose_answers > 0) {
+    const auto result = execute(*client, request);
+    if (uses_slot && is_caller(request.id) && member().lose_answers > 0) {
         --member().lose_answers;
         co_return false;
     }
@@ -195,24 +198,24 @@
     co_return co_await send(client, std::move(text));
 }
 
-/// Why the statement does not run, or nothing.
-std::string member_server::refusal(const session& client, const query& wanted) const {
-    const auto [wanted_term, number] = parse_position(wanted.after);
-    if (!wanted.after.empty() && !member().has_reached(wanted_term, number)) {
+/// @return error code that refuses the statement, or an empty string
+std::string member_server::refusal(const session& client, const query& request) const {
+    const auto [required_term, number] = parse_position(request.after);
+    if (!request.after.empty() && !member().has_reached(required_term, number)) {
         return "LAGGING";
     }
-    const bool in_transaction = client.state == 'T' && !client.reads_only;
-    const bool harmless = wanted.verb == "COMMIT" && client.writes.empty();
-    if (in_transaction && !member().primary && wanted.verb != "ROLLBACK" && !harmless) {
+    const bool in_transaction = client.state == 'T' && !client.read_only;
+    const bool empty_commit = request.verb == "COMMIT" && client.writes.empty();
+    if (in_transaction && !member().primary && request.verb != "ROLLBACK" && !empty_commit) {
         return "READONLY";
     }
-    if (client.state == 'E' && wanted.verb != "ROLLBACK" && wanted.verb != "COMMIT") {
+    if (client.state == 'E' && request.verb != "ROLLBACK" && request.verb != "COMMIT") {
         return "MALFORMED";
     }
     return {};
 }
 
-member_server::answer member_server::execute(session& client, const query& wanted) {
+member_server::answer member_server::execute(session& client, const query& request) {
     constexpr std::array<std::pair<std::string_view, handler>, 14> handlers{
         {{"BEGIN", &member_server::begin},
          {"COMMIT", &member_server::commit},
@@ -229,36 +232,36 @@
          {"RESUME", &member_server::control},
          {"STEPDOWN", &member_server::control}}};
     const auto* const found = std::find_if(handlers.begin(), handlers.end(), [&](const auto& each) {
-        return each.first == wanted.verb;
+        return each.first == request.verb;
     });
     answer result;
-    const auto before = client.state;
+    const auto state_before = client.state;
     const auto transaction = client.transaction;
     std::string shape;
     if (found == handlers.end()) {
         result.error = "MALFORMED";
-    } else if (auto refused = refusal(client, wanted); !refused.empty()) {
+    } else if (auto refused = refusal(client, request); !refused.empty()) {
         result.error = std::move(refused);
     } else {
-        if (wanted.verb == "EXECUTE") {
-            std::string_view rest{wanted.rest};
+        if (request.verb == "EXECUTE") {
+            std::string_view rest{request.rest};
             const auto named = client.statements.find(take_word(rest));
             shape = named == client.statements.end() ? "" : named->second.shape;
         }
-        result = (this->*found->second)(client, wanted);
+        result = (this->*found->second)(client, request);
     }
     if (!result.error.empty() && client.state == 'T') {
         client.state = 'E';
     }
-    if (is_caller(wanted.id)) {
-        note(client, wanted, result, before, transaction, shape);
+    if (is_caller(request.id)) {
+        record_statement(client, request, result, state_before, transaction, shape);
     }
     return result;
 }
 
-member_server::answer member_server::begin(session& client, const query& wanted) {
-    client.reads_only = wanted.rest == "READ";
-    if (!client.reads_only && !member().primary) {
+member_server::answer member_server::begin(session& client, const query& request) {
+    client.read_only = request.rest == "READ";
+    if (!client.read_only && !member().primary) {
         return {{}, "-", "READONLY"};
     }
     client.state = 'T';
@@ -277,7 +280,7 @@
         if (writes) {
             group_.commit(member(), std::move(client.writes), steady_clock::now());
         }
-        result.signature = sign();
+        result.signature = next_signature();
     }
     client.writes.clear();
     client.state = 'I';
@@ -292,13 +295,13 @@
     return {};
 }
 
-std::string member_server::sign() {
-    return member().id + "." + std::to_string(member().life) + "." +
+std::string member_server::next_signature() {
+    return member().id + "." + std::to_string(member().incarnation) + "." +
            std::to_string(++last_signature_);
 }
 
-member_server::answer member_server::read(session& client, const query& wanted) {
-    return read_item(client, wanted.rest);
+member_server::answer member_server::read(session& client, const query& request) {
+    return read_item(client, request.rest);
 }
 
 member_server::answer member_server::read_item(const session& client, const std::string& item) {
@@ -309,60 +312,60 @@
         value = write.item == item ? write.data : value;
     }
     result.rows = {std::move(value)};
-    result.signature = sign();
+    result.signature = next_signature();
     return result;
 }
 
-member_server::answer member_server::write(session& client, const query& wanted) {
-    return write_item(client, wanted, wanted.rest);
+member_server::answer member_server::write(session& client, const query& request) {
+    return write_item(client, request, request.rest);
 }
 
-member_server::answer member_server::write_item(session& client, const query& wanted,
+member_server::answer member_server::write_item(session& client, const query& request,
                                                 const std::string& item_and_data) {
     std::string_view rest{item_and_data};
     const auto item = take_word(rest);
     if (!member().primary) {
         return {{}, "-", "READONLY"};
     }
-    row_write change{wanted.id, item, std::string{rest}};
+    row_write change{request.id, item, std::string{rest}};
     if (client.state == 'T') {
         client.writes.push_back(std::move(change));
     } else {
         group_.commit(member(), {std::move(change)}, steady_clock::now());
     }
     answer result;
-    result.signature = sign();
+    result.signature = next_signature();
     return result;
 }
 
-member_server::answer member_server::run_prepared(session& client, const query& wanted) {
-    std::string_view rest{wanted.rest};
+member_server::answer member_server::run_prepared(session& client, const query& request) {
+    std::string_view rest{request.rest};
     const auto found = client.statements.find(take_word(rest));
     if (found == client.statements.end()) {
         return {{}, "-", "NOSTMT"};
     }
     const std::string arguments{rest};
-    return found->second.writes ? write_item(client, wanted, arguments)
+    return found->second.writes ? write_item(client, request, arguments)
                                 : read_item(client, arguments);
 }
 
-member_server::answer member_server::set(session& client, const query& wanted) {
-    std::string_view rest{wanted.rest};
+member_server::answer member_server::set(session& client, const query& request) {
+    std::string_view rest{request.rest};
     const auto name = take_word(rest);
     client.values[name] = rest;
     return {};
 }
 
-member_server::answer member_server::prepare(session& client, const query& wanted) {
-    std::string_view rest{wanted.rest};
+member_server::answer member_server::prepare(session& client, const query& request) {
+    std::string_view rest{request.rest};
     const auto name = take_word(rest);
     const bool writes = take_word(rest) == "WRITE";
     client.statements[name] = {writes, std::string{rest}};
     return {};
 }
 
-member_server::answer member_server::deallocate(session& client, const query& wanted) {
-    client.statements.erase(wanted.rest);
+member_server::answer member_server::deallocate(session& client, const query& request) {
+    client.statements.erase(request.rest);
     return {};
 }
 
@@ -382,22 +385,22 @@
     return result;
 }
 
-member_server::answer member_server::control(session& client, const query& wanted) {
+member_server::answer member_server::control(session& client, const query& request) {
     std::uint64_t term{0};
-    std::from_chars(wanted.rest.data(), wanted.rest.data() + wanted.rest.size(), term);
-    if (wanted.verb == "PAUSE") {
+    std::from_chars(request.rest.data(), request.rest.data() + request.rest.size(), term);
+    if (request.verb == "PAUSE") {
         group_.hold(member(), term);
-    } else if (wanted.verb == "RESUME") {
+    } else if (request.verb == "RESUME") {
         member().held_term = 0;
     } else {
         group_.step_down(member(), term);
     }
-    return status(client, wanted);
+    return status(client, request);
 }
 
-void member_server::note(const session& client, const query& wanted, const answer& result,
-                         char state_before, std::uint64_t transaction_before,
-                         const std::string& shape) {
+void member_server::record_statement(const session& client, const query& request,
+                                     const answer& result, char state_before,
+                                     std::uint64_t transaction_before, const std::string& shape) {
     Json::Value run;
     run["at"] = seconds_now();
     run["group"] = group_.name();
@@ -405,10 +408,10 @@
     run["connection"] = Json::UInt64{client.number};
     run["organisation"] = client.organisation;
     run["from"] = client.peer;
-    run["id"] = wanted.id;
-    run["text"] = wanted.verb + (wanted.rest.empty() ? "" : " " + wanted.rest);
+    run["id"] = request.id;
+    run["text"] = request.verb + (request.rest.empty() ? "" : " " + request.rest);
     run["state"] = std::string{state_before};
-    // The begin itself opens the transaction that it belongs to.
+    // BEGIN belongs to the transaction that it opens.
     run["transaction"] =
         Json::UInt64{transaction_before == 0 ? client.transaction : transaction_before};
     run["primary"] = member().primary;
--- a/src/standins/jackdawvane-site/member_server.hpp
+++ b/src/standins/jackdawvane-site/member_server.hpp
@@ -16,18 +16,18 @@
 
 namespace jackdawvane::standin {
 
-/// @brief What a backend server can bear.
+/// @brief Capacity of a backend server and the time that its work takes.
 struct member_limits {
     std::uint32_t slots{3};
     std::uint32_t connections{22};
-    milliseconds connect_work{12};
-    milliseconds statement_work{8};
+    milliseconds connect_duration{12};
+    milliseconds statement_duration{8};
 };
 
 /// @brief One backend server's SQL sessions over TCP.
 class member_server : private boost::noncopyable {
   public:
-    /// @brief Called with each statement of a caller that ran, for the judge of a test.
+    /// @brief Called with each statement of a caller and its result, for the checks of a test.
     using recorder = std::function<void(Json::Value)>;
 
     /// @param group outlives this object
@@ -35,11 +35,11 @@
     member_server(asio::io_context& io, session_group& group, std::size_t index,
                   const endpoint& listen, const member_limits& limits, recorder record);
 
-    /// @brief Closes all connections and refuses new ones; the member has crashed.
-    void shut();
+    /// @brief Closes all connections and the listening socket, as in a crash.
+    void close();
     /// @brief Accepts connections again.
     void open();
-    /// @brief Open connections deliver nothing any more; new ones do.
+    /// @brief Stops answering on the open connections; new ones are answered.
     void silence();
 
   private:
@@ -48,19 +48,20 @@
         std::string shape;
     };
     struct session {
-        session(asio::io_context& io, std::uint64_t its_number) : socket{io}, number{its_number} {}
+        session(asio::io_context& io, std::uint64_t session_number)
+            : socket{io}, number{session_number} {}
 
         tcp::socket socket;
         std::uint64_t number;
-        std::uint64_t life{0}; ///< Of the member at the start.
+        std::uint64_t incarnation{0}; ///< Of the member when the connection was accepted.
         bool silent{false};
-        std::string peer; ///< Address that it comes from.
+        std::string peer; ///< Source address.
         std::string organisation;
         std::map<std::string, std::string> values;
         std::map<std::string, prepared> statements;
         char state{'I'};
-        bool reads_only{false};
-        std::uint64_t transaction{0}; ///< Number of the open one.
+        bool read_only{false};
+        std::uint64_t transaction{0}; ///< Number of the open transaction; 0: none.
         std::vector<row_write> writes;
     };
     using session_ptr = std::shared_ptr<session>;
@@ -70,7 +71,7 @@
         std::string signature{"-"};
         std::string error;
     };
-    /// @brief Statement as the line has it.
+    /// @brief Parsed statement line.
     struct query {
         std::string id;
         std::string after;
@@ -82,33 +83,34 @@
     [[nodiscard]] group_member& member() const { return group_.members()[index_]; }
     awaitable<void> accept();
     awaitable<void> serve(session_ptr client);
-    awaitable<bool> start(session_ptr client, std::string line);
-    awaitable<bool> run(session_ptr client, std::string line);
-    awaitable<bool> work(session_ptr client, milliseconds time);
+    awaitable<bool> handle_startup(session_ptr client, std::string line);
+    awaitable<bool> handle_statement(session_ptr client, std::string line);
+    awaitable<bool> occupy_slot(session_ptr client, milliseconds time);
     awaitable<bool> send(session_ptr client, std::string text);
     [[nodiscard]] bool usable(const session& client) const;
 
     [[nodiscard]] static query parse(std::string_view line);
-    [[nodiscard]] answer execute(session& client, const query& wanted);
-    [[nodiscard]] std::string refusal(const session& client, const query& wanted) const;
-    [[nodiscard]] answer begin(session& client, const query& wanted);
-    [[nodiscard]] answer commit(session& client, const query& wanted);
-    [[nodiscard]] answer roll_back(session& client, const query& wanted);
-    [[nodiscard]] answer read(session& client, const query& wanted);
-    [[nodiscard]] answer write(session& client, const query& wanted);
-    [[nodiscard]] answer run_prepared(session& client, const query& wanted);
-    [[nodiscard]] answer set(session& client, const query& wanted);
-    [[nodiscard]] answer prepare(session& client, const query& wanted);
-    [[nodiscard]] answer deallocate(session& client, const query& wanted);
-    [[nodiscard]] answer reset(session& client, const query& wanted);
-    [[nodiscard]] answer status(session& client, const query& wanted);
-    [[nodiscard]] answer control(session& client, const query& wanted);
+    [[nodiscard]] answer execute(session& client, const query& request);
+    [[nodiscard]] std::string refusal(const session& client, const query& request) const;
+    [[nodiscard]] answer begin(session& client, const query& request);
+    [[nodiscard]] answer commit(session& client, const query& request);
+    [[nodiscard]] answer roll_back(session& client, const query& request);
+    [[nodiscard]] answer read(session& client, const query& request);
+    [[nodiscard]] answer write(session& client, const query& request);
+    [[nodiscard]] answer run_prepared(session& client, const query& request);
+    [[nodiscard]] answer set(session& client, const query& request);
+    [[nodiscard]] answer prepare(session& client, const query& request);
+    [[nodiscard]] answer deallocate(session& client, const query& request);
+    [[nodiscard]] answer reset(session& client, const query& request);
+    [[nodiscard]] answer status(session& client, const query& request);
+    [[nodiscard]] answer control(session& client, const query& request);
     [[nodiscard]] answer read_item(const session& client, const std::string& item);
-    [[nodiscard]] answer write_item(session& client, const query& wanted,
+    [[nodiscard]] answer write_item(session& client, const query& request,
                                     const std::string& item_and_data);
-    [[nodiscard]] std::string sign();
-    void note(const session& client, const query& wanted, const answer& result, char state_before,
-              std::uint64_t transaction_before, const std::string& shape);
+    [[nodiscard]] std::string next_signature();
+    void record_statement(const session& client, const query& request, const answer& result,
+                          char state_before, std::uint64_t transaction_before,
+                          const std::string& shape);
 
     asio::io_context& io_;
     session_group& group_;
--- a/src/standins/jackdawvane-site/session_group.cpp
+++ b/src/standins/jackdawvane-site/session_group.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A primary that can reach its successor goes on for this time.
-constexpr milliseconds successor_patience{1000};
+/// A primary steps down this long after it first reached its successor.
+constexpr milliseconds step_down_delay{1000};
 
 bool same(const commit_entry& left, const commit_entry& right) {
     return left.term == right.term && left.number == right.number;
@@ -22,13 +22,13 @@
     return std::to_string(log.back().term) + "." + std::to_string(log.back().number);
 }
 
-bool group_member::has_reached(std::uint64_t wanted_term, std::uint64_t number) const {
+bool group_member::has_reached(std::uint64_t required_term, std::uint64_t number) const {
     if (number == 0) {
         return true;
     }
     const auto last_number = log.empty() ? 0 : log.back().number;
     const auto last_term = log.empty() ? 1 : log.back().term;
-    return last_term > wanted_term || (last_term == wanted_term && last_number >= number);
+    return last_term > required_term || (last_term == required_term && last_number >= number);
 }
 
 session_group::session_group(std::string name, std::vector<group_member> members)
@@ -42,7 +42,7 @@
     return found == members_.end() ? nullptr : &*found;
 }
 
-const group_member* session_group::leader() const {
+const group_member* session_group::current_primary() const {
     const group_member* newest = nullptr;
     for (const auto& each : members_) {
         const bool newer = newest == nullptr || each.term > newest->term;
@@ -78,7 +78,7 @@
     chosen->primary = true;
     chosen->term = newest + 1;
     chosen->held_term = 0;
-    chosen->saw_successor.reset();
+    chosen->successor_seen_at.reset();
     return true;
 }
 
@@ -96,23 +96,23 @@
 
 void session_group::crash(group_member& member) const {
     member.state = group_member::condition::crashed;
-    ++member.life;
+    ++member.incarnation;
 }
 
-void session_group::restart(group_member& member, std::int64_t born_ms) const {
+void session_group::restart(group_member& member, std::int64_t started_at_ms) const {
     const bool replaced = std::any_of(members_.begin(), members_.end(), [&](const auto& each) {
         return each.primary && each.term > member.term;
     });
     member.state = group_member::condition::running;
     member.primary = member.primary && !replaced;
     member.held_term = 0;
-    member.born_ms = born_ms;
-    member.saw_successor.reset();
-    ++member.life;
+    member.started_at_ms = started_at_ms;
+    member.successor_seen_at.reset();
+    ++member.incarnation;
 }
 
 void session_group::replicate(time now) {
-    const auto* const newest = leader();
+    const auto* const newest = current_primary();
     if (newest == nullptr || newest->isolated) {
         return;
     }
@@ -121,15 +121,15 @@
             continue;
         }
         if (each.primary) {
-            each.saw_successor = each.saw_successor.value_or(now);
-            each.primary = now < *each.saw_successor + successor_patience;
+            each.successor_seen_at = each.successor_seen_at.value_or(now);
+            each.primary = now < *each.successor_seen_at + step_down_delay;
         } else if (each.held_term == 0) {
-            follow(each, *newest, now);
+            update_replica(each, *newest, now);
         }
     }
 }
 
-void session_group::follow(group_member& replica, const group_member& primary, time now) {
+void session_group::update_replica(group_member& replica, const group_member& primary, time now) {
     auto& log = replica.log;
     bool truncated = false;
     while (!log.empty() &&
--- a/src/standins/jackdawvane-site/session_group.hpp
+++ b/src/standins/jackdawvane-site/session_group.hpp
@@ -12,7 +12,7 @@
 
 namespace jackdawvane::standin {
 
-/// @brief Write of one statement.
+/// @brief Data item written by one statement.
 struct row_write {
     std::string statement; ///< Id of the statement.
     std::string item;
@@ -29,7 +29,7 @@
 
 /// @brief One backend server of a group.
 struct group_member {
-    enum class condition { running, crashed, dark };
+    enum class condition { running, crashed, unresponsive };
 
     std::string id;
     std::string domain;
@@ -37,22 +37,22 @@
     condition state{condition::running};
     bool primary{false};
     bool leaving{false};
-    bool isolated{false}; ///< No traffic with the other members.
+    bool isolated{false}; ///< No replication traffic with the other members.
     std::uint64_t term{1};
-    std::uint64_t held_term{0}; ///< Receives nothing while above 0.
+    std::uint64_t held_term{0}; ///< Replication to this server is paused while above 0.
     std::vector<commit_entry> log;
     std::map<std::string, std::string> data;
     milliseconds lag{0};
-    std::int64_t born_ms{0};
-    std::uint64_t life{1}; ///< Grows with each start.
-    std::optional<steady_clock::time_point> saw_successor;
-    std::uint32_t lose_answers{0}; ///< Next answers that are lost after the statement has run.
+    std::int64_t started_at_ms{0};
+    std::uint64_t incarnation{1}; ///< Increases with each crash and restart.
+    std::optional<steady_clock::time_point> successor_seen_at;
+    std::uint32_t lose_answers{0}; ///< Number of next answers to drop after the statement has run.
     std::uint32_t busy{0};
     std::uint32_t connections{0};
 
     [[nodiscard]] bool running() const { return state == condition::running; }
     [[nodiscard]] std::string position() const;
-    [[nodiscard]] bool has_reached(std::uint64_t wanted_term, std::uint64_t number) const;
+    [[nodiscard]] bool has_reached(std::uint64_t required_term, std::uint64_t number) const;
 };
 
 /// @brief Roles, logs and data of one group's members. No I/O.
@@ -66,28 +66,28 @@
     [[nodiscard]] std::vector<group_member>& members() { return members_; }
     [[nodiscard]] group_member* find(const std::string& id);
     /// @brief Running primary of the newest term, or null.
-    [[nodiscard]] const group_member* leader() const;
+    [[nodiscard]] const group_member* current_primary() const;
 
-    /// @brief Appends a commit at @a primary.
+    /// @brief Appends a commit to the log of @a primary and applies its writes.
     const commit_entry& commit(group_member& primary, std::vector<row_write> writes, time now);
-    /// @brief Begins a newer term with the member @a id as the primary.
-    /// @return false when it does not run
+    /// @brief Starts a new term with the member @a id as the primary.
+    /// @return false when it is unknown or not running
     bool promote(const std::string& id);
     void hold(group_member& member, std::uint64_t term) const;
     void step_down(group_member& member, std::uint64_t term) const;
     void crash(group_member& member) const;
-    void restart(group_member& member, std::int64_t born_ms) const;
+    void restart(group_member& member, std::int64_t started_at_ms) const;
 
-    /// @brief Passes commits on to replicas and retires a primary that sees its successor.
+    /// @brief Replicates commits and demotes a primary that has been in contact with its successor.
     void replicate(time now);
 
     /// @brief Statements whose writes a promotion has rolled back.
     [[nodiscard]] const std::set<std::string>& rolled_back() const { return rolled_back_; }
-    /// @brief Log of the newest primary, and what was rolled back.
+    /// @brief State of the members, log of the newest primary and rolled back statements.
     [[nodiscard]] Json::Value describe() const;
 
   private:
-    void follow(group_member& replica, const group_member& primary, time now);
+    void update_replica(group_member& replica, const group_member& primary, time now);
 
     std::string name_;
     std::vector<group_member> members_;
--- a/src/standins/jackdawvane-site/site_server.cpp
+++ b/src/standins/jackdawvane-site/site_server.cpp
@@ -8,8 +8,8 @@
 
 constexpr milliseconds replication_interval{2};
 constexpr milliseconds registration_interval{20};
-/// A registration is removed after this many silent intervals.
-constexpr int silent_intervals = 3;
+/// A registration expires after this many heartbeat intervals without renewal.
+constexpr int max_missed_heartbeats = 3;
 
 std::int64_t unix_milliseconds() {
     return std::chrono::duration_cast<milliseconds>(
@@ -29,7 +29,7 @@
         member.domain = each.domain;
         member.address = text_of(each.advertised.port == 0 ? each.listen : each.advertised);
         member.lag = milliseconds{settings.lag_ms};
-        member.born_ms = unix_milliseconds();
+        member.started_at_ms = unix_milliseconds();
         groups[each.group].push_back(std::move(member));
     }
     return groups;
@@ -88,18 +88,19 @@
     }
 }
 
-/// Writes a registration when it is due or has changed, and removes one that has lapsed.
+/// Writes a registration when it is due or has changed, and removes an expired one.
 void site_server::register_member(served_member& each, steady_clock::time_point now) {
     const auto& member = state_of(each);
     const milliseconds interval{settings_.heartbeat_ms};
     const auto key = "servers/" + member.id;
-    if (each.listed && now >= each.lapses) {
+    if (each.registered && now >= each.expires_at) {
         store_.withdraw(key);
-        each.listed = false;
+        each.registered = false;
     }
-    const auto present =
-        std::to_string(member.life) + (member.primary ? "p" : "r") + (member.leaving ? "l" : "s");
-    if (!member.running() || store_.down() || (now < each.due && present == each.written)) {
+    const auto current_state = std::to_string(member.incarnation) + (member.primary ? "p" : "r") +
+                               (member.leaving ? "l" : "s");
+    if (!member.running() || store_.down() ||
+        (now < each.due_at && current_state == each.registered_state)) {
         return;
     }
     Json::Value row;
@@ -111,13 +112,13 @@
     row["state"] = member.leaving ? "draining" : "ready";
     row["warmup_remaining_ms"] = 0;
     row["db_role"] = member.primary ? "primary" : "replica";
-    row["born"] = Json::Int64{member.born_ms};
+    row["born"] = Json::Int64{member.started_at_ms};
     row["sequence"] = Json::UInt64{++each.sequence};
     store_.publish(key, row);
-    each.written = present;
-    each.due = now + interval;
-    each.lapses = now + silent_intervals * interval;
-    each.listed = true;
+    each.registered_state = current_state;
+    each.due_at = now + interval;
+    each.expires_at = now + max_missed_heartbeats * interval;
+    each.registered = true;
 }
 
 awaitable<http_reply> site_server::promote(const http_request& request) {
@@ -192,15 +193,15 @@
         }
         if (fault.state == "crashed" && member.state != group_member::condition::crashed) {
             each.group->crash(member);
-            each.server->shut();
+            each.server->close();
         } else if (fault.state == "dark" && member.running()) {
-            member.state = group_member::condition::dark;
+            member.state = group_member::condition::unresponsive;
             each.server->silence();
         } else if (fault.state == "running" && member.state == group_member::condition::crashed) {
             each.group->restart(member, unix_milliseconds());
             each.server->open();
         } else if (fault.state == "running") {
-            member.state = group_member::condition::running; // It goes on in the role that it had.
+            member.state = group_member::condition::running; // It keeps its role.
         }
         member.leaving = fault.leaving.value_or(member.leaving);
         member.isolated = fault.isolated.value_or(member.isolated);
--- a/src/standins/jackdawvane-site/site_server.hpp
+++ b/src/standins/jackdawvane-site/site_server.hpp
@@ -15,13 +15,13 @@
 
 namespace jackdawvane::standin {
 
-/// @brief One backend server of the settings.
+/// @brief Settings of one backend server.
 struct site_member {
     std::string id;
     std::string group;
     std::string domain;
     endpoint listen;
-    endpoint advertised; ///< Address in the registration; `listen` when it has no port.
+    endpoint advertised; ///< Address in the registration; `listen` if the port is 0.
 
     static constexpr auto fields() {
         return std::tuple{field("id", &site_member::id), field("group", &site_member::group),
@@ -33,10 +33,10 @@
 
 /// @brief Settings of the stand-in for the users' platform.
 struct site_settings {
-    endpoint control; ///< Faults, configuration, record; for tests only.
+    endpoint control; ///< Endpoint for tests: faults, configuration and the record of statements.
     endpoint store;
     endpoint promotion;
-    std::vector<site_member> members; ///< The first of each group is its primary.
+    std::vector<site_member> members; ///< The first of each group is its initial primary.
     std::uint32_t slots{3};
     std::uint32_t connections{22};
     std::uint32_t lag_ms{8};
@@ -57,15 +57,15 @@
     }
 };
 
-/// @brief Fault of one backend server; absent keys change nothing.
+/// @brief Fault to inject into one backend server; absent keys change nothing.
 struct member_fault {
     std::string member;
     std::optional<std::string> state; ///< `running`, `crashed` or `dark`.
     std::optional<bool> leaving;
-    std::optional<bool> isolated; ///< From the other backend servers.
+    std::optional<bool> isolated; ///< No replication traffic with the other backend servers.
     std::optional<std::uint32_t> lag_ms;
     std::optional<std::uint32_t> lose_answers;
-    bool silence{false}; ///< Open connections deliver nothing any more.
+    bool silence{false}; ///< Stops answering on the open connections.
 
     static constexpr auto fields() {
         return std::tuple{field("member", &member_fault::member),
@@ -88,9 +88,10 @@
     }
 };
 
-/// @brief The users' platform in one process: store, registrations, promotion call, groups.
+/// @brief Stand-in for the users' platform: store, registrations, promotion call and groups.
 ///
-/// One process keeps the record of all runs in one order, which a test's judge needs.
+/// A single process records the statements of all servers in one total order, which the checks of
+/// a test need.
 class site_server {
   public:
     site_server(asio::io_context& io, const site_settings& settings);
@@ -102,10 +103,10 @@
         site_member settings;
         std::unique_ptr<member_server> server;
         std::uint64_t sequence{0};
-        std::string written; ///< Role, state and life of the last registration.
-        steady_clock::time_point due{};
-        steady_clock::time_point lapses{};
-        bool listed{false};
+        std::string registered_state; ///< Role, state and incarnation of the last registration.
+        steady_clock::time_point due_at{};
+        steady_clock::time_point expires_at{};
+        bool registered{false};
     };
 
     awaitable<http_reply> control(const http_request& request);
--- a/src/standins/jackdawvane-site/store_api.cpp
+++ b/src/standins/jackdawvane-site/store_api.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr milliseconds longest_wait{30'000};
-constexpr milliseconds lease_resolution{50};
+constexpr milliseconds max_watch_wait{30'000};
+constexpr milliseconds lease_expiry_interval{50};
 constexpr std::size_t page_size = 500; // items
 
 std::string base64(const std::string& text) {
     std::string out((text.size() + 2) / 3 * 4, '\0');
-    // The output has room for the terminating zero that std::string keeps.
+    // EVP_EncodeBlock appends a NUL byte, for which std::string reserves space.
     EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
                     reinterpret_cast<const unsigned char*>(text.data()),
                     static_cast<int>(text.size()));
@@ -43,15 +43,15 @@
     while (!text.empty()) {
         const auto end = std::min(text.find('&'), text.size());
         const auto pair = text.substr(0, end);
-        const auto sign = std::min(pair.find('='), pair.size());
-        fields[std::string{pair.substr(0, sign)}] =
-            unescape(pair.substr(std::min(sign + 1, pair.size())));
+        const auto separator = std::min(pair.find('='), pair.size());
+        fields[std::string{pair.substr(0, separator)}] =
+            unescape(pair.substr(std::min(separator + 1, pair.size())));
         text.remove_prefix(std::min(end + 1, text.size()));
     }
     return fields;
 }
 
-std::uint64_t number(const std::map<std::string, std::string>& fields, const char* name) {
+std::uint64_t number_field(const std::map<std::string, std::string>& fields, const char* name) {
     const auto found = fields.find(name);
     std::uint64_t value{0};
     if (found != fields.end()) {
@@ -60,7 +60,7 @@
     return value;
 }
 
-std::string text(const std::map<std::string, std::string>& fields, const char* name) {
+std::string text_field(const std::map<std::string, std::string>& fields, const char* name) {
     const auto found = fields.find(name);
     return found == fields.end() ? std::string{} : found->second;
 }
@@ -70,7 +70,7 @@
     json["key"] = key;
     json["value"] = item.value;
     json["revision"] = Json::UInt64{item.revision};
-    json["created_revision"] = Json::UInt64{item.created};
+    json["created_revision"] = Json::UInt64{item.created_revision};
     json["lease"] = Json::UInt64{item.lease};
     return json;
 }
@@ -102,8 +102,8 @@
 
 awaitable<void> store_api::expire_leases() {
     for (;;) {
-        co_await sleep_for(lease_resolution);
-        // Leases pause while the store is down.
+        co_await sleep_for(lease_expiry_interval);
+        // Leases do not expire while the store is down.
         if (!down()) {
             const auto before = store_.revision();
             store_.expire(steady_clock::now());
@@ -120,7 +120,7 @@
     return reply;
 }
 
-bool store_api::turned_away(const http_connection& connection) const {
+bool store_api::is_refused(const http_connection& connection) const {
     error_code failed;
     const auto remote = connection.socket.remote_endpoint(failed).address().to_string();
     return std::find(refused_.begin(), refused_.end(), remote) != refused_.end();
@@ -133,9 +133,9 @@
          {"/kv-range", &store_api::range},
          {"/kv-watch", &store_api::watch},
          {"/kv-txn", &store_api::transact},
-         {"/kv-lease-end", &store_api::end},
+         {"/kv-lease-end", &store_api::revoke},
          {"/kv-lease", &store_api::grant},
-         {"/kv-keep", &store_api::keep}}};
+         {"/kv-keep", &store_api::renew}}};
     const std::string_view target{request.target};
     const auto path = target.substr(0, target.find('?'));
     const auto* const found = std::find_if(handlers.begin(), handlers.end(), [&](const auto& each) {
@@ -146,12 +146,12 @@
     }
     ++calls_[std::string{found->first}];
     co_await sleep_for(delay_);
-    if (down() || turned_away(*connection)) {
+    if (down() || is_refused(*connection)) {
         co_return outage();
     }
     auto fields = parse_query(target.substr(std::min(path.size() + 1, target.size())));
     fields["lease"] = std::string{path.substr(std::min(found->first.size() + 1, path.size()))};
-    // g++ 12 evaluates a conditional expression among the operands of co_await wrongly.
+    // g++ 12 miscompiles a conditional expression in an operand of co_await.
     const auto parsed = parse_json(request.body);
     Json::Value body;
     if (parsed) {
@@ -169,7 +169,7 @@
 }
 
 awaitable<http_reply> store_api::key(const query& fields, const Json::Value& /*body*/) {
-    const auto name = text(fields, "key");
+    const auto name = text_field(fields, "key");
     const auto* const item = store_.find(name);
     if (item == nullptr) {
         co_return error_reply(404, "no such key");
@@ -180,12 +180,12 @@
 }
 
 awaitable<http_reply> store_api::range(const query& fields, const Json::Value& /*body*/) {
-    const auto prefix = text(fields, "prefix");
+    const auto prefix = text_field(fields, "prefix");
     Json::Value json;
     json["items"] = Json::arrayValue;
     json["has_more"] = false;
     json["at_revision"] = Json::UInt64{store_.revision()};
-    for (auto it = store_.items().upper_bound(std::max(text(fields, "after"), prefix));
+    for (auto it = store_.items().upper_bound(std::max(text_field(fields, "after"), prefix));
          it != store_.items().end() && it->first.starts_with(prefix); ++it) {
         if (json["items"].size() == page_size) {
             json["has_more"] = true;
@@ -197,9 +197,9 @@
 }
 
 awaitable<http_reply> store_api::watch(const query& fields, const Json::Value& /*body*/) {
-    const auto prefix = text(fields, "prefix");
-    const auto after = number(fields, "after");
-    const auto wait = std::min(milliseconds{number(fields, "wait_ms")}, longest_wait);
+    const auto prefix = text_field(fields, "prefix");
+    const auto after = number_field(fields, "after");
+    const auto wait = std::min(milliseconds{number_field(fields, "wait_ms")}, max_watch_wait);
     const auto deadline = steady_clock::now() + wait;
     for (;;) {
         const auto found = store_.changes(prefix, after);
@@ -253,22 +253,22 @@
 }
 
 awaitable<http_reply> store_api::grant(const query& /*fields*/, const Json::Value& body) {
-    const milliseconds life{body["ttl_ms"].asInt64()};
+    const milliseconds ttl{body["ttl_ms"].asInt64()};
     Json::Value json;
-    json["lease"] = Json::UInt64{store_.grant(life, steady_clock::now())};
-    json["ttl_ms"] = Json::Int64{life.count()};
+    json["lease"] = Json::UInt64{store_.grant(ttl, steady_clock::now())};
+    json["ttl_ms"] = Json::Int64{ttl.count()};
     co_return json_reply(json);
 }
 
-awaitable<http_reply> store_api::keep(const query& fields, const Json::Value& /*body*/) {
-    if (!store_.keep(number(fields, "lease"), steady_clock::now())) {
+awaitable<http_reply> store_api::renew(const query& fields, const Json::Value& /*body*/) {
+    if (!store_.renew(number_field(fields, "lease"), steady_clock::now())) {
         co_return error_reply(404, "the lease has ended");
     }
     co_return json_reply(Json::objectValue);
 }
 
-awaitable<http_reply> store_api::end(const query& fields, const Json::Value& /*body*/) {
-    store_.end(number(fields, "lease"));
+awaitable<http_reply> store_api::revoke(const query& fields, const Json::Value& /*body*/) {
+    store_.revoke(number_field(fields, "lease"));
     changed_.notify();
     co_return json_reply(Json::objectValue);
 }
@@ -291,10 +291,10 @@
     delay_ = fault.delay_ms ? milliseconds{*fault.delay_ms} : delay_;
     lose_answers_ = fault.lose_answers.value_or(lose_answers_);
     refused_ = fault.refused.value_or(refused_);
-    if (fault.forget_history) {
-        store_.forget_history();
+    if (fault.compact_history) {
+        store_.compact_history();
     }
-    changed_.notify(); // Waiting watches end with the outage's answer.
+    changed_.notify(); // Pending watches return, with an error during an outage.
 }
 
 Json::Value store_api::inspect() const {
--- a/src/standins/jackdawvane-site/store_api.hpp
+++ b/src/standins/jackdawvane-site/store_api.hpp
@@ -15,19 +15,19 @@
 
 /// @brief Fault of the store; absent keys change nothing.
 struct store_fault {
-    std::optional<std::uint32_t> down_ms;      ///< Calls meet an outage for this time; 0 ends one.
-    bool silent{false};                        ///< Calls of the outage get no answer, not a 503.
-    std::optional<std::uint32_t> delay_ms;     ///< Time that each call takes.
-    std::optional<std::uint32_t> lose_answers; ///< Next changes whose answer is lost.
-    std::optional<std::vector<std::string>> refused; ///< Addresses that are turned away.
-    bool forget_history{false};
+    std::optional<std::uint32_t> down_ms;            ///< Duration of an outage; 0 ends it.
+    bool silent{false};                              ///< No answer instead of a 503 in the outage.
+    std::optional<std::uint32_t> delay_ms;           ///< Time that each call takes.
+    std::optional<std::uint32_t> lose_answers;       ///< Next transactions whose answer is lost.
+    std::optional<std::vector<std::string>> refused; ///< Addresses for which it is down.
+    bool compact_history{false};
 
     static constexpr auto fields() {
         using self = store_fault;
         return std::tuple{
             field("down_ms", &self::down_ms),   field("silent", &self::silent),
             field("delay_ms", &self::delay_ms), field("lose_answers", &self::lose_answers),
-            field("refused", &self::refused),   field("forget_history", &self::forget_history)};
+            field("refused", &self::refused),   field("forget_history", &self::compact_history)};
     }
 };
 
@@ -40,13 +40,13 @@
     awaitable<http_reply> handle(http_server::connection_ptr connection,
                                  const http_request& request);
 
-    /// @brief Writes JSON as the platform does, past every limit for VMs.
+    /// @brief Writes an item of the platform; the restrictions on VMs do not apply.
     void publish(const std::string& key, const Json::Value& document);
     /// @brief Removes an item of the platform.
     void withdraw(const std::string& key);
     void apply(const store_fault& fault);
     [[nodiscard]] bool down() const { return steady_clock::now() < down_until_; }
-    /// @brief Calls by path, and lost answers.
+    /// @brief Number of calls by path, and the revision of the store.
     [[nodiscard]] Json::Value inspect() const;
 
   private:
@@ -58,12 +58,12 @@
     awaitable<http_reply> watch(const query& fields, const Json::Value& body);
     awaitable<http_reply> transact(const query& fields, const Json::Value& body);
     awaitable<http_reply> grant(const query& fields, const Json::Value& body);
-    awaitable<http_reply> keep(const query& fields, const Json::Value& body);
-    awaitable<http_reply> end(const query& fields, const Json::Value& body);
+    awaitable<http_reply> renew(const query& fields, const Json::Value& body);
+    awaitable<http_reply> revoke(const query& fields, const Json::Value& body);
 
     awaitable<void> expire_leases();
     [[nodiscard]] http_reply outage() const;
-    [[nodiscard]] bool turned_away(const http_connection& connection) const;
+    [[nodiscard]] bool is_refused(const http_connection& connection) const;
 
     asio::io_context& io_;
     lease_store store_;
--- a/tests/adapters/site_standin_test.cpp
+++ b/tests/adapters/site_standin_test.cpp
@@ -10,14 +10,14 @@
 
 struct condition_case {
     const char* name;
-    std::uint64_t expected; ///< Revision that the writer has seen; 0: no item.
+    std::uint64_t expected; ///< 0: no item, 1: current revision, 2: a different revision.
     bool exists;
     outcome result;
 };
 
 class LeaseStoreConditions : public testing::TestWithParam<condition_case> {};
 
-/// Guards against a change that is made though its condition does not hold.
+/// Guards against a change that is applied although its precondition fails.
 TEST_P(LeaseStoreConditions, ChangeIsMadeOnlyOnTheExpectedRevision) {
     lease_store store;
     if (GetParam().exists) {
@@ -40,30 +40,30 @@
                                          condition_case{"outdated", 2, true, outcome::conflict}),
                          [](const auto& tested) { return std::string{tested.param.name}; });
 
-/// Guards against a leased item that outlives its lease, or a removal that no watch sees.
+/// Guards against an item that outlives its lease, or an expiry that watches do not report.
 TEST(LeaseStore, ItemEndsWithItsLease) {
     lease_store store;
     const lease_store::time start{};
     const auto lease = store.grant(milliseconds{1000}, start);
     store.put("a", "x", lease);
     const auto seen = store.revision();
-    EXPECT_TRUE(store.keep(lease, start + milliseconds{900}));
+    EXPECT_TRUE(store.renew(lease, start + milliseconds{900}));
     store.expire(start + milliseconds{1500});
     EXPECT_NE(store.find("a"), nullptr);
     store.expire(start + milliseconds{1900});
     EXPECT_EQ(store.find("a"), nullptr);
-    EXPECT_FALSE(store.keep(lease, start + milliseconds{1900}));
+    EXPECT_FALSE(store.renew(lease, start + milliseconds{1900}));
     const auto changes = store.changes("a", seen);
     ASSERT_TRUE(changes);
     ASSERT_EQ(changes->size(), 1U);
     EXPECT_FALSE(changes->front().item);
-    store.forget_history();
+    store.compact_history();
     EXPECT_FALSE(store.changes("a", seen));
 }
 
 class SessionGroup : public testing::Test {
   protected:
-    static std::vector<group_member> three() {
+    static std::vector<group_member> three_members() {
         std::vector<group_member> members(3);
         for (std::size_t i = 0; i < members.size(); ++i) {
             members[i].id = std::string{"m"} + std::to_string(i);
@@ -76,10 +76,10 @@
     }
     group_member& member(const char* id) { return *group_.find(id); }
 
-    session_group group_{"g", three()};
+    session_group group_{"g", three_members()};
 };
 
-/// Guards against a rolled back commit that the record does not show: a judge would miss it.
+/// Guards against a rolled back commit that is not reported: a test's checks would miss it.
 TEST_F(SessionGroup, PromotionRollsBackWhatTheNewPrimaryLacks) {
     group_.commit(member("m0"), {{"s1", "a", "1"}}, at(0));
     group_.replicate(at(20));
@@ -97,17 +97,17 @@
     EXPECT_TRUE(group_.rolled_back().contains("s2"));
 }
 
-/// Guards against a crashed primary that leads again after another has been promoted.
+/// Guards against a crashed primary that restarts as primary after another has been promoted.
 TEST_F(SessionGroup, ReplacedPrimaryComesBackAsReplica) {
     group_.crash(member("m0"));
     EXPECT_FALSE(group_.promote("m0"));
     ASSERT_TRUE(group_.promote("m2"));
     group_.restart(member("m0"), 1);
     EXPECT_FALSE(member("m0").primary);
-    EXPECT_EQ(group_.leader()->id, "m2");
+    EXPECT_EQ(group_.current_primary()->id, "m2");
 }
 
-/// Guards against an old primary that never ends.
+/// Guards against an old primary that never steps down.
 TEST_F(SessionGroup, PrimaryThatReachesItsSuccessorEndsAfterASecond) {
     ASSERT_TRUE(group_.promote("m1"));
     group_.replicate(at(0));
