--- a/src/programs/jackdawvane-limits.cpp
+++ b/src/programs/jackdawvane-limits.cpp
@@ -29,29 +29,29 @@
   --version    Show the version.
 )";
 
-void print_heading(const limits::scenario& chosen) {
-    std::printf("\n%s\n%-17s %5s %10s %9s %8s %9s %8s %8s %8s %8s\n", chosen.name.c_str(),
+void print_heading(const limits::scenario& scenario) {
+    std::printf("\n%s\n%-17s %5s %10s %9s %8s %9s %8s %8s %8s %8s\n", scenario.name.c_str(),
                 "mechanism", "seed", "wrongful%", "overshoot", "worst", "overload", "waited%",
                 "store/s", "msg/s/VM", "B/s/VM");
 }
 
-void print(const limits::measurement& each) {
+void print_row(const limits::measurement& result) {
     std::printf("%-17s %5llu %10.3f %9.2f %8.4f %9.4f %8.2f %8.1f %8.2f %8.0f\n",
-                each.mechanism.c_str(), static_cast<unsigned long long>(each.seed),
-                each.wrongful_percent, each.overshoot, each.worst_served, each.overloaded_served,
-                each.waited_percent, each.store_calls_per_second, each.messages_per_second,
-                each.bytes_per_second);
+                result.mechanism.c_str(), static_cast<unsigned long long>(result.seed),
+                result.wrongful_percent, result.overshoot, result.worst_served,
+                result.overloaded_served, result.waited_percent, result.store_calls_per_second,
+                result.messages_per_second, result.bytes_per_second);
 }
 
 std::vector<limits::measurement> run_all(std::uint64_t seed, std::uint64_t runs,
                                          const std::string& only) {
     std::vector<limits::measurement> all;
-    for (const auto& chosen : limits::all_scenarios()) {
-        print_heading(chosen);
+    for (const auto& scenario : limits::all_scenarios()) {
+        print_heading(scenario);
         for (const auto& subject : limits::all_mechanisms()) {
             for (std::uint64_t i = 0; i < runs && (only.empty() || only == subject.name); ++i) {
-                all.push_back(limits::run_study(chosen, subject, seed + i));
-                print(all.back());
+                all.push_back(limits::run_study(scenario, subject, seed + i));
+                print_row(all.back());
             }
         }
     }
--- a/src/programs/jackdawvane-limits/escrow.cpp
+++ b/src/programs/jackdawvane-limits/escrow.cpp
@@ -14,48 +14,50 @@
 
 namespace {
 
-/// The platform stops listing a killed VM after this time.
-constexpr duration listing_lag = std::chrono::seconds{5};
+/// Time until the platform removes a killed VM from its VM list.
+constexpr duration listing_delay = std::chrono::seconds{5};
 
-/// @brief The limiter of this project: shares, tokens on demand, moved rates.
+/// @brief Runs one `rate_limiter` per VM: each holds shares of the rates, requests tokens from
+/// other VMs on demand and moves rates between them.
 class escrow final : public mechanism {
   public:
-    explicit escrow(world& around) : world_{around} {}
+    explicit escrow(simulation& sim) : simulation_{sim} {}
 
     void start() override {
         for (std::size_t slot = 0; slot < vm_count; ++slot) {
-            boot(slot);
+            start_vm(slot);
         }
-        announce();
+        update_fleet();
     }
 
-    void request(std::size_t slot, std::size_t organisation, verdict decided) override {
-        auto& at = *vms_.at(slot);
-        const request_id handle = handles_.next();
-        on(at, [&](actions& out) {
-            const auto answer = at.limiter->admit(world_.now(), organisation_name(organisation),
-                                                  handle, no_deadline, out);
+    void request(std::size_t slot, std::size_t organisation,
+                 decision_callback on_decision) override {
+        auto& target = *vms_.at(slot);
+        const request_id handle = request_ids_.next();
+        run_on(target, [&](actions& out) {
+            const auto answer = target.limiter->admit(
+                simulation_.now(), organisation_name(organisation), handle, no_deadline, out);
             if (answer.state == admission_state::pending) {
-                waiting_.emplace(handle, std::move(decided));
+                waiting_.emplace(handle, std::move(on_decision));
             } else {
-                decided(answer.state == admission_state::admitted);
+                on_decision(answer.state == admission_state::admitted);
             }
         });
     }
 
-    void killed(std::size_t slot) override {
+    void on_vm_killed(std::size_t slot) override {
         const auto id = vms_.at(slot)->entry.vm;
         vms_.at(slot).reset();
-        world_.after(listing_lag, [this, id] {
-            gone_.insert(id);
-            announce();
+        simulation_.after(listing_delay, [this, id] {
+            removed_vms_.insert(id);
+            update_fleet();
         });
-        announce();
+        update_fleet();
     }
 
-    void replaced(std::size_t slot) override {
-        boot(slot);
-        announce();
+    void on_vm_replaced(std::size_t slot) override {
+        start_vm(slot);
+        update_fleet();
     }
 
   private:
@@ -68,29 +70,31 @@
         std::uint64_t generation{0};
     };
 
-    void boot(std::size_t slot) {
-        auto made = std::make_unique<vm>();
-        made->slot = slot;
+    void start_vm(std::size_t slot) {
+        auto started = std::make_unique<vm>();
+        started->slot = slot;
         const auto domain = domain_of(slot);
         const bool distant = domain == domain_count - 1;
-        made->entry.vm = vm_id{"vm-" + std::to_string(++booted_)};
-        made->entry.place = {region_id{distant ? "distant" : "central"},
-                             failure_domain_id{"domain-" + std::to_string(domain)}};
-        made->random.seed(world_.random()());
-        made->limiter =
-            std::make_unique<rate_limiter>(made->entry.vm, vm_incarnation{1}, made->entry.place,
-                                           rate_limiter_settings{}, made->ids, made->random);
-        vms_.at(slot) = std::move(made);
+        started->entry.vm = vm_id{"vm-" + std::to_string(++started_vms_)};
+        started->entry.place = {region_id{distant ? "distant" : "central"},
+                                failure_domain_id{"domain-" + std::to_string(domain)}};
+        started->random.seed(simulation_.random()());
+        started->limiter = std::make_unique<rate_limiter>(
+            started->entry.vm, vm_incarnation{1}, started->entry.place, rate_limiter_settings{},
+            started->ids, started->random);
+        vms_.at(slot) = std::move(started);
         std::map<organisation_id, organisation_row> rows;
         for (std::size_t i = 0; i < organisation_limits().size(); ++i) {
             const auto limits = organisation_limits()[i];
             rows[organisation_name(i)] = {limits.rate, limits.burst, 1};
         }
-        auto& at = *vms_.at(slot);
-        on(at, [&](actions& out) { at.limiter->configure(world_.now(), rows, revision{1}, out); });
+        auto& target = *vms_.at(slot);
+        run_on(target, [&](actions& out) {
+            target.limiter->configure(simulation_.now(), rows, revision{1}, out);
+        });
     }
 
-    void announce() {
+    void update_fleet() {
         std::vector<vm_entry> live;
         for (const auto& each : vms_) {
             if (each) {
@@ -99,58 +103,61 @@
         }
         for (const auto& each : vms_) {
             if (each) {
-                on(*each,
-                   [&](actions& out) { each->limiter->set_fleet(world_.now(), live, gone_, out); });
+                run_on(*each, [&](actions& out) {
+                    each->limiter->set_fleet(simulation_.now(), live, removed_vms_, out);
+                });
             }
         }
     }
 
     template <class Work>
-    void on(vm& at, Work work) {
+    void run_on(vm& target, Work work) {
         actions out;
         work(out);
-        for (const auto& decision : at.limiter->take_decisions()) {
+        for (const auto& decision : target.limiter->take_decisions()) {
             auto found = waiting_.extract(decision.handle);
             if (!found.empty()) {
                 found.mapped()(decision.state == admission_state::admitted);
             }
         }
-        for (const auto& ordered : out) {
-            carry_out(at, ordered);
+        for (const auto& output : out) {
+            carry_out(target, output);
         }
-        schedule(at);
+        schedule(target);
     }
 
-    void carry_out(vm& at, const action& ordered) {
-        if (const auto* message = std::get_if<send_to_peer>(&ordered)) {
-            send(at, *message);
-        } else if (const auto* request = std::get_if<store_request>(&ordered)) {
-            world_.call(at.slot, *request,
-                        [this, id = at.entry.vm, slot = at.slot](const store_answer& answer) {
-                            if (auto* same = find(slot, id)) {
-                                on(*same, [&](actions& out) {
-                                    std::ignore =
-                                        same->limiter->on_store(world_.now(), answer, out);
-                                });
-                            }
+    void carry_out(vm& target, const action& output) {
+        if (const auto* message = std::get_if<send_to_peer>(&output)) {
+            send(target, *message);
+        } else if (const auto* request = std::get_if<store_request>(&output)) {
+            simulation_.call(
+                target.slot, *request,
+                [this, id = target.entry.vm, slot = target.slot](const store_answer& answer) {
+                    if (auto* current = find(slot, id)) {
+                        run_on(*current, [&](actions& out) {
+                            std::ignore =
+                                current->limiter->on_store(simulation_.now(), answer, out);
                         });
+                    }
+                });
         }
     }
 
-    void send(vm& at, const send_to_peer& message) {
+    void send(vm& target, const send_to_peer& message) {
         for (const auto& each : vms_) {
             if (!each || each->entry.vm != message.vm) {
                 continue;
             }
             const auto size = write_json(encode(message.message)).size();
-            world_.send(
-                at.slot, each->slot, size, [this, from = at.entry.vm, slot = each->slot, message] {
-                    if (auto* same = find(slot, message.vm)) {
-                        on(*same, [&](actions& out) {
-                            same->limiter->on_peer(world_.now(), from, message.message, out);
-                        });
-                    }
-                });
+            simulation_.send(target.slot, each->slot, size,
+                             [this, from = target.entry.vm, slot = each->slot, message] {
+                                 if (auto* current = find(slot, message.vm)) {
+                                     run_on(*current, [&](actions& out) {
+                                         current->limiter->on_peer(simulation_.now(), from,
+                                                                   message.message, out);
+                                     });
+                                 }
+                             });
         }
     }
 
@@ -159,33 +166,34 @@
         return each && each->entry.vm == id ? each.get() : nullptr;
     }
 
-    void schedule(vm& at) {
-        const auto generation = ++at.generation;
-        const auto due = at.limiter->next_deadline();
+    void schedule(vm& target) {
+        const auto generation = ++target.generation;
+        const auto due = target.limiter->next_deadline();
         if (due == no_deadline) {
             return;
         }
-        const auto delay = std::max(duration{1}, due - world_.now());
-        world_.after(delay, [this, generation, slot = at.slot, id = at.entry.vm] {
-            auto* same = find(slot, id);
-            if (same != nullptr && same->generation == generation) {
-                on(*same, [&](actions& out) { same->limiter->tick(world_.now(), out); });
+        const auto delay = std::max(duration{1}, due - simulation_.now());
+        simulation_.after(delay, [this, generation, slot = target.slot, id = target.entry.vm] {
+            auto* current = find(slot, id);
+            if (current != nullptr && current->generation == generation) {
+                run_on(*current,
+                       [&](actions& out) { current->limiter->tick(simulation_.now(), out); });
             }
         });
     }
 
-    world& world_;
+    simulation& simulation_;
     std::array<std::unique_ptr<vm>, vm_count> vms_;
-    std::set<vm_id> gone_;
-    std::map<request_id, verdict> waiting_;
-    id_sequence<request_id> handles_;
-    int booted_{0};
+    std::set<vm_id> removed_vms_;
+    std::map<request_id, decision_callback> waiting_;
+    id_sequence<request_id> request_ids_;
+    int started_vms_{0};
 };
 
 } // namespace
 
-std::unique_ptr<mechanism> make_escrow(world& around) {
-    return std::make_unique<escrow>(around);
+std::unique_ptr<mechanism> make_escrow(simulation& sim) {
+    return std::make_unique<escrow>(sim);
 }
 
 } // namespace jackdawvane::limits
--- a/src/programs/jackdawvane-limits/scenario.cpp
+++ b/src/programs/jackdawvane-limits/scenario.cpp
@@ -13,11 +13,11 @@
 
 constexpr double mean_load = 0.8;
 /// Callers per VM follow 1 / rank^exponent; 1.5 gives the first of 9 VMs half of all callers.
-constexpr double unevenness = 1.5;
-/// Callers move to other VMs this often.
-constexpr seconds reshuffle{40};
+constexpr double skew_exponent = 1.5;
+/// Interval at which the callers are redistributed over the VMs.
+constexpr seconds reshuffle_interval{40};
 constexpr double burst_interval_seconds = 6;
-constexpr double burst_part = 0.4;
+constexpr double burst_fraction = 0.4;
 constexpr duration burst_length = std::chrono::milliseconds{100};
 constexpr double microseconds_per_second = 1e6;
 
@@ -27,7 +27,7 @@
         return weights;
     }
     for (std::size_t i = 0; i < vm_count; ++i) {
-        weights[i] = std::pow(static_cast<double>(i + 1), -unevenness);
+        weights[i] = std::pow(static_cast<double>(i + 1), -skew_exponent);
     }
     std::shuffle(weights.begin(), weights.end(), random);
     return weights;
@@ -37,30 +37,31 @@
     return duration{static_cast<duration::rep>(value * microseconds_per_second)};
 }
 
-void add_stream(const scenario& chosen, std::size_t organisation, random_engine& random,
-                std::vector<arrival>& all) {
+void add_arrivals(const scenario& chosen, std::size_t organisation, random_engine& random,
+                  std::vector<arrival>& all) {
     const auto limits = organisation_limits()[organisation];
     const double rate =
-        limits.rate * (organisation == 0 && chosen.overload > 1 ? chosen.overload : mean_load);
-    std::exponential_distribution<double> gap{rate};
-    std::exponential_distribution<double> burst_gap{1 / burst_interval_seconds};
-    std::uniform_int_distribution<duration::rep> within{0, burst_length.count()};
+        limits.rate *
+        (organisation == 0 && chosen.overload_factor > 1 ? chosen.overload_factor : mean_load);
+    std::exponential_distribution<double> interarrival_time{rate};
+    std::exponential_distribution<double> burst_interval{1 / burst_interval_seconds};
+    std::uniform_int_distribution<duration::rep> burst_offset{0, burst_length.count()};
     const auto end = time_point{chosen.length};
-    auto next_burst = time_point{} + from_seconds(burst_gap(random));
+    auto next_burst = time_point{} + from_seconds(burst_interval(random));
     auto next_shuffle = time_point{};
     std::discrete_distribution<std::size_t> slot;
-    for (auto at = time_point{}; at < end; at += from_seconds(gap(random))) {
-        if (at >= next_shuffle && (chosen.changes || at == time_point{})) {
+    for (auto at = time_point{}; at < end; at += from_seconds(interarrival_time(random))) {
+        if (at >= next_shuffle && (chosen.load_changes || at == time_point{})) {
             const auto weights = slot_weights(chosen.uneven, random);
             slot = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
-            next_shuffle += reshuffle;
+            next_shuffle += reshuffle_interval;
         }
         all.push_back({at, slot(random), organisation});
-        if (at >= next_burst && chosen.changes) {
-            next_burst = at + from_seconds(burst_gap(random));
+        if (at >= next_burst && chosen.load_changes) {
+            next_burst = at + from_seconds(burst_interval(random));
             const auto target = slot(random);
-            for (int i = 0; i < static_cast<int>(limits.burst * burst_part); ++i) {
-                all.push_back({at + duration{within(random)}, target, organisation});
+            for (int i = 0; i < static_cast<int>(limits.burst * burst_fraction); ++i) {
+                all.push_back({at + duration{burst_offset(random)}, target, organisation});
             }
         }
     }
@@ -73,17 +74,17 @@
     even.uneven = false;
     scenario uneven{"uneven callers"};
     scenario steady{"uneven callers, no change"};
-    steady.changes = false;
+    steady.load_changes = false;
     steady.warm_up = seconds{60};
     scenario outage{"uneven, store outage"};
     outage.store_outage = {seconds{30}, seconds{90}};
-    scenario cut{"uneven, domain cut"};
-    cut.domain_cut = {seconds{45}, seconds{75}};
+    scenario partition{"uneven, domain cut"};
+    partition.domain_partition = {seconds{45}, seconds{75}};
     scenario replaced{"uneven, VM replaced every 20 s"};
-    replaced.replacement = seconds{20};
+    replaced.replacement_interval = seconds{20};
     scenario overloaded{"uneven, one organisation at 5x"};
-    overloaded.overload = 5;
-    return {even, uneven, steady, outage, cut, replaced, overloaded};
+    overloaded.overload_factor = 5;
+    return {even, uneven, steady, outage, partition, replaced, overloaded};
 }
 
 const std::vector<share_limits>& organisation_limits() {
@@ -100,7 +101,7 @@
     std::vector<arrival> all;
     for (std::size_t i = 0; i < organisation_limits().size(); ++i) {
         random_engine random{seed * 1000 + i};
-        add_stream(chosen, i, random, all);
+        add_arrivals(chosen, i, random, all);
     }
     std::stable_sort(all.begin(), all.end(),
                      [](const arrival& a, const arrival& b) { return a.at < b.at; });
--- a/src/programs/jackdawvane-limits/scenario.hpp
+++ b/src/programs/jackdawvane-limits/scenario.hpp
@@ -16,9 +16,9 @@
 namespace jackdawvane::limits {
 
 inline constexpr std::size_t vm_count = 9;
-inline constexpr std::size_t domain_count = 3; ///< The last one is a region of its own.
+inline constexpr std::size_t domain_count = 3; ///< The last one is in a region of its own.
 
-/// @brief Time range in which a fault lasts; empty when both are equal.
+/// @brief Half-open time range of a fault; empty when both ends are equal.
 struct period {
     std::chrono::seconds from{0};
     std::chrono::seconds to{0};
@@ -33,20 +33,20 @@
     explicit scenario(std::string chosen) : name{std::move(chosen)} {}
 
     std::string name;
-    bool uneven{true};                   ///< Half of an organisation's callers use one VM.
-    period store_outage;                 ///< No store call succeeds.
-    period domain_cut;                   ///< The last failure domain reaches nobody else.
-    std::chrono::seconds replacement{0}; ///< A VM is killed and replaced this often; 0 for never.
-    bool changes{true};                  ///< Callers move to other VMs, and bursts come.
-    double overload{1};                  ///< Factor of the first organisation's rate.
+    bool uneven{true};       ///< One VM gets half of an organisation's callers.
+    period store_outage;     ///< No store call succeeds.
+    period domain_partition; ///< The last failure domain is partitioned from the others.
+    std::chrono::seconds replacement_interval{0}; ///< Between VM replacements; 0 for none.
+    bool load_changes{true};                      ///< Callers move between VMs, and bursts occur.
+    double overload_factor{1}; ///< Above 1: load of the first organisation / its rate.
     std::chrono::seconds length{120};
-    std::chrono::seconds warm_up{15}; ///< Not measured: shares start empty.
+    std::chrono::seconds warm_up{15}; ///< Excluded from the results: shares start empty.
 };
 
 /// @brief Request of a caller.
 struct arrival {
     time_point at;
-    std::size_t slot{0}; ///< Position in the fleet; a replaced VM keeps it.
+    std::size_t slot{0}; ///< Position in the fleet; a new VM takes over that of the VM it replaces.
     std::size_t organisation{0};
 };
 
@@ -64,7 +64,8 @@
     return slot % domain_count;
 }
 
-/// @brief Arrivals in order of time: Poisson at 80% of each rate, and bursts at single VMs.
+/// @brief Generates the arrivals in time order: Poisson arrivals at 80% of each rate, and bursts at
+/// single VMs.
 [[nodiscard]] std::vector<arrival> make_arrivals(const scenario& chosen, std::uint64_t seed);
 
 } // namespace jackdawvane::limits
--- a/src/programs/jackdawvane-limits/study.hpp
+++ b/src/programs/jackdawvane-limits/study.hpp
@@ -12,21 +12,21 @@
 
 namespace jackdawvane::limits {
 
-/// @brief What one mechanism did under one load.
+/// @brief Results of one mechanism in one run of a scenario.
 struct measurement {
     std::string scenario;
     std::string mechanism;
     std::uint64_t seed{0};
     std::uint64_t offered{0};    ///< Requests after the warm-up.
-    std::uint64_t wrongful{0};   ///< Refused although one global bucket admits them; see below.
-    double wrongful_percent{0};  ///< Of the requests that the global bucket admits.
-    double overshoot{0};         ///< Most tokens admitted beyond rate and burst.
-    double worst_served{0};      ///< Lowest admitted part of what the global bucket admits.
-    double overloaded_served{0}; ///< The same for the organisation above its rate; else 0.
-    double waited_percent{0};    ///< Decided later than on arrival.
+    std::uint64_t wrongful{0};   ///< Refused although the reference admits them; see `run_study`.
+    double wrongful_percent{0};  ///< In percent of the requests that the reference admits.
+    double overshoot{0};         ///< Largest number of tokens admitted beyond rate and burst.
+    double worst_served{0};      ///< Lowest admitted / admitted by the reference per organisation.
+    double overloaded_served{0}; ///< The same ratio of the overloaded organisation; 0 without one.
+    double waited_percent{0};    ///< Requests that were not decided on arrival, in percent.
     double store_calls_per_second{0};
     double messages_per_second{0}; ///< Per VM.
-    double bytes_per_second{0};    ///< Per VM, sent.
+    double bytes_per_second{0};    ///< Sent per VM.
 
     static constexpr auto fields() {
         using self = measurement;
@@ -46,11 +46,11 @@
     }
 };
 
-/// @brief Runs @a subject under the load of @a chosen.
+/// @brief Runs @a subject under the load and the faults of @a chosen.
 ///
-/// The reference is one global bucket per organisation that starts full and sees the same
-/// arrivals. Requests of an organisation above its rate do not count as wrongfully refused,
-/// because the two admit different ones of the same number.
+/// The reference is one global token bucket per organisation that starts full and receives the same
+/// arrivals. Refusals of an overloaded organisation do not count as wrongful, because the mechanism
+/// and the reference may admit equally many but different requests.
 [[nodiscard]] measurement run_study(const scenario& chosen, const mechanism_entry& subject,
                                     std::uint64_t seed);
 
--- a/src/programs/jackdawvane-limits/world.cpp
+++ b/src/programs/jackdawvane-limits/world.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-constexpr duration same_domain = std::chrono::microseconds{150};
-constexpr duration between_domains = std::chrono::microseconds{500};
-constexpr duration between_regions = std::chrono::milliseconds{8};
-/// Scheduling and queueing add up to this to each message.
-constexpr duration jitter = std::chrono::microseconds{300};
+constexpr duration same_domain_latency = std::chrono::microseconds{150};
+constexpr duration cross_domain_latency = std::chrono::microseconds{500};
+constexpr duration cross_region_latency = std::chrono::milliseconds{8};
+/// Upper bound of the random delay per message that stands for scheduling and queueing.
+constexpr duration max_jitter = std::chrono::microseconds{300};
 constexpr duration store_timeout = std::chrono::seconds{1};
-/// The store stands in the first failure domain.
+/// The store is in the first failure domain.
 constexpr std::size_t store_slot = 0;
-/// JSON-RPC envelope around the encoded message.
+/// Size of the JSON-RPC envelope of an encoded message.
 constexpr std::size_t envelope_bytes = 55;
 
 } // namespace
 
-void world::after(duration delay, std::function<void()> work) {
+void simulation::after(duration delay, std::function<void()> work) {
     queue_.emplace(std::pair{now_ + delay, ++sequence_}, std::move(work));
 }
 
-void world::run() {
+void simulation::run() {
     const auto end = time_point{scenario_.length};
     while (!queue_.empty() && queue_.begin()->first.first <= end) {
         auto next = queue_.extract(queue_.begin());
@@ -35,38 +35,39 @@
     queue_.clear();
 }
 
-void world::send(std::size_t from, std::size_t to, std::size_t size,
-                 std::function<void()> arrived) {
+void simulation::send(std::size_t from, std::size_t to, std::size_t size,
+                      std::function<void()> on_arrival) {
     ++messages;
     bytes += size + envelope_bytes;
-    if (!cut(from, to)) {
-        after(latency(from, to), std::move(arrived));
+    if (!partitioned(from, to)) {
+        after(latency(from, to), std::move(on_arrival));
     }
 }
 
-void world::call(std::size_t from, const store_request& request,
-                 std::function<void(const store_answer&)> answered) {
+void simulation::call(std::size_t from, const store_request& request,
+                      std::function<void(const store_answer&)> on_answer) {
     ++store_calls;
-    if (scenario_.store_outage.covers(now_) || cut(from, store_slot)) {
-        after(store_timeout, [request, answered = std::move(answered)] {
-            answered({request.id, store_status::unavailable, {}, 0, {}});
+    if (scenario_.store_outage.covers(now_) || partitioned(from, store_slot)) {
+        after(store_timeout, [request, on_answer = std::move(on_answer)] {
+            on_answer({request.id, store_status::unavailable, {}, 0, {}});
         });
         return;
     }
-    const auto back = latency(store_slot, from);
-    after(latency(from, store_slot), [this, request, back, answered = std::move(answered)] {
-        after(back, [answer = perform(request), answered] { answered(answer); });
-    });
+    const auto return_latency = latency(store_slot, from);
+    after(latency(from, store_slot),
+          [this, request, return_latency, on_answer = std::move(on_answer)] {
+              after(return_latency, [answer = perform(request), on_answer] { on_answer(answer); });
+          });
 }
 
-std::size_t world::balanced(std::size_t slot) const noexcept {
+std::size_t simulation::serving_slot(std::size_t slot) const noexcept {
     for (std::size_t i = 0; i < vm_count && !present_[slot]; ++i) {
         slot = (slot + 1) % vm_count;
     }
     return slot;
 }
 
-store_answer world::perform(const store_request& request) {
+store_answer simulation::perform(const store_request& request) {
     store_answer answer{request.id, store_status::ok, {}, 0, {}};
     if (request.operation == store_operation::renew_lease) {
         leases_[request.key] = {request.value, now_ + request.lease};
@@ -83,7 +84,7 @@
     return answer;
 }
 
-void world::access(const store_request& request, store_answer& answer) {
+void simulation::access(const store_request& request, store_answer& answer) {
     auto& stored = values_[request.key];
     if (request.operation == store_operation::compare_and_swap) {
         if (request.version == stored.version) {
@@ -99,21 +100,21 @@
     answer.version = stored.version;
 }
 
-duration world::latency(std::size_t from, std::size_t to) {
-    std::uniform_int_distribution<duration::rep> extra{0, jitter.count()};
+duration simulation::latency(std::size_t from, std::size_t to) {
+    std::uniform_int_distribution<duration::rep> extra{0, max_jitter.count()};
     const auto a = domain_of(from);
     const auto b = domain_of(to);
     const auto distant = domain_count - 1;
-    auto base = a == b ? same_domain : between_domains;
+    auto base = a == b ? same_domain_latency : cross_domain_latency;
     if (a != b && (a == distant || b == distant)) {
-        base = between_regions;
+        base = cross_region_latency;
     }
     return base + duration{extra(random_)};
 }
 
-bool world::cut(std::size_t from, std::size_t to) const noexcept {
+bool simulation::partitioned(std::size_t from, std::size_t to) const noexcept {
     const auto isolated = domain_count - 1;
-    return scenario_.domain_cut.covers(now_) &&
+    return scenario_.domain_partition.covers(now_) &&
            (domain_of(from) == isolated) != (domain_of(to) == isolated);
 }
 
--- a/src/programs/jackdawvane-limits/world.hpp
+++ b/src/programs/jackdawvane-limits/world.hpp
@@ -15,29 +15,31 @@
 
 namespace jackdawvane::limits {
 
-/// @brief Virtual time, network, store and VM replacements that all limiters share.
-class world {
+/// @brief Discrete-event simulation that a mechanism runs in: virtual time, network, store and
+/// presence of the VMs.
+class simulation {
   public:
-    /// @param chosen outlives this object
-    world(const scenario& chosen, std::uint64_t seed) : scenario_{chosen}, random_{seed} {}
+    /// @param chosen must outlive this object
+    simulation(const scenario& chosen, std::uint64_t seed) : scenario_{chosen}, random_{seed} {}
 
     /// @brief Runs @a work after @a delay.
     void after(duration delay, std::function<void()> work);
-    /// @brief Runs all work until the end of the scenario.
+    /// @brief Runs all scheduled work until the end of the scenario.
     void run();
 
-    /// @brief Sends a message of @a bytes; @a arrived runs unless the network is cut.
-    void send(std::size_t from, std::size_t to, std::size_t bytes, std::function<void()> arrived);
+    /// @brief Sends a message of @a bytes; @a on_arrival runs unless the slots are partitioned.
+    void send(std::size_t from, std::size_t to, std::size_t bytes,
+              std::function<void()> on_arrival);
 
     /// @brief Calls the store from the slot @a from.
     void call(std::size_t from, const store_request& request,
-              std::function<void(const store_answer&)> answered);
+              std::function<void(const store_answer&)> on_answer);
 
-    /// @brief Replaces the VM in @a slot for the time of its absence.
+    /// @brief Whether @a slot has a running VM.
     [[nodiscard]] bool present(std::size_t slot) const noexcept { return present_.at(slot); }
     void set_present(std::size_t slot, bool present) { present_.at(slot) = present; }
-    /// @brief The slot itself or, while its VM is away, the next slot that has one.
-    [[nodiscard]] std::size_t balanced(std::size_t slot) const noexcept;
+    /// @brief Returns @a slot or, while it has no VM, the next slot that has one.
+    [[nodiscard]] std::size_t serving_slot(std::size_t slot) const noexcept;
 
     [[nodiscard]] time_point now() const noexcept { return now_; }
     [[nodiscard]] const scenario& load() const noexcept { return scenario_; }
@@ -60,7 +62,7 @@
     [[nodiscard]] store_answer perform(const store_request& request);
     void access(const store_request& request, store_answer& answer);
     [[nodiscard]] duration latency(std::size_t from, std::size_t to);
-    [[nodiscard]] bool cut(std::size_t from, std::size_t to) const noexcept;
+    [[nodiscard]] bool partitioned(std::size_t from, std::size_t to) const noexcept;
 
     const scenario& scenario_;
     random_engine random_;
