--- a/src/programs/jackdawvanectl.cpp
+++ b/src/programs/jackdawvanectl.cpp
@@ -44,12 +44,12 @@
 using namespace jackdawvane::ctl;
 using arguments = std::map<std::string, docopt::value>;
 
-std::string text_of(arguments& given, const char* name) {
-    return given[name] ? given[name].asString() : std::string{};
+std::string option_text(arguments& args, const char* name) {
+    return args[name] ? args[name].asString() : std::string{};
 }
 
-revision revision_of(arguments& given) {
-    return revision{static_cast<std::uint64_t>(given["REVISION"].asLong())};
+revision revision_argument(arguments& args) {
+    return revision{static_cast<std::uint64_t>(args["REVISION"].asLong())};
 }
 
 struct subcommand {
@@ -59,54 +59,60 @@
 
 constexpr std::array subcommands{
     subcommand{"get",
-               [](commands& on, arguments& given) {
-                   return on.show(text_of(given, "TABLE"), text_of(given, "ROW"));
+               [](commands& runner, arguments& args) {
+                   return runner.show(option_text(args, "TABLE"), option_text(args, "ROW"));
                }},
-    subcommand{"apply", [](commands& on,
-                           arguments& given) { return on.apply_file(text_of(given, "FILE")); }},
-    subcommand{"check",
-               [](commands& on, arguments& given) { return on.check(text_of(given, "FILE")); }},
-    subcommand{"history", [](commands& on, arguments&) { return on.history(); }},
-    subcommand{"undo", [](commands& on, arguments& given) { return on.undo(revision_of(given)); }},
+    subcommand{"apply",
+               [](commands& runner, arguments& args) {
+                   return runner.apply_file(option_text(args, "FILE"));
+               }},
+    subcommand{"check", [](commands& runner,
+                           arguments& args) { return runner.check(option_text(args, "FILE")); }},
+    subcommand{"history", [](commands& runner, arguments&) { return runner.history(); }},
+    subcommand{"undo", [](commands& runner,
+                          arguments& args) { return runner.undo(revision_argument(args)); }},
     subcommand{"give",
-               [](commands& on, arguments& given) {
-                   return on.give_key(text_of(given, "ORGANISATION"), text_of(given, "--label"));
+               [](commands& runner, arguments& args) {
+                   return runner.issue_key(option_text(args, "ORGANISATION"),
+                                           option_text(args, "--label"));
+               }},
+    subcommand{"withdraw",
+               [](commands& runner, arguments& args) {
+                   return runner.revoke_key(option_text(args, "KEY"));
                }},
-    subcommand{"withdraw", [](commands& on,
-                              arguments& given) { return on.withdraw_key(text_of(given, "KEY")); }},
-    subcommand{"status", [](commands& on, arguments&) { return on.status(); }},
-    subcommand{"where",
-               [](commands& on, arguments& given) { return on.where(revision_of(given)); }},
-    subcommand{"settle",
-               [](commands& on, arguments& given) { return on.settle(text_of(given, "EDIT")); }},
+    subcommand{"status", [](commands& runner, arguments&) { return runner.status(); }},
+    subcommand{"where", [](commands& runner,
+                           arguments& args) { return runner.where(revision_argument(args)); }},
+    subcommand{"settle", [](commands& runner,
+                            arguments& args) { return runner.settle(option_text(args, "EDIT")); }},
 };
 
-int run(arguments& given) {
-    const auto store = from_json<endpoint>(Json::Value{given["--store"].asString()});
+int run(arguments& args) {
+    const auto store = from_json<endpoint>(Json::Value{args["--store"].asString()});
     if (!store) {
         std::cerr << "--store" << store.error().detail << '\n';
-        return mistakes;
+        return invalid_input;
     }
-    auto name = text_of(given, "--operator");
+    auto name = option_text(args, "--operator");
     if (const char* const user = std::getenv("USER"); name.empty() && user != nullptr) {
         name = user;
     }
     operator_session session{store.value(), name};
-    commands on{session, std::cout};
+    commands runner{session, std::cout};
     for (const auto& command : subcommands) {
-        if (given[command.name].asBool()) {
-            return command.run(on, given);
+        if (args[command.name].asBool()) {
+            return command.run(runner, args);
         }
     }
-    return mistakes;
+    return invalid_input;
 }
 
 } // namespace
 
 int main(int argc, char** argv) {
     try {
-        auto given = docopt::docopt_parse(usage, {argv + 1, argv + argc}, true, true);
-        return run(given);
+        auto args = docopt::docopt_parse(usage, {argv + 1, argv + argc}, true, true);
+        return run(args);
     } catch (const docopt::DocoptExitHelp&) {
         std::cout << usage;
         return done;
@@ -115,9 +121,9 @@
         return done;
     } catch (const docopt::DocoptArgumentError&) {
         std::cerr << usage;
-        return mistakes;
+        return invalid_input;
     } catch (const std::exception& problem) {
         std::cerr << "jackdawvanectl: " << problem.what() << '\n';
-        return mistakes;
+        return invalid_input;
     }
 }
--- a/src/programs/jackdawvanectl/commands.cpp
+++ b/src/programs/jackdawvanectl/commands.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// Bytes of randomness in a key; 192 bits cannot be guessed.
+/// Random bytes in a key; 192 bits are infeasible to guess.
 constexpr std::size_t key_bytes = 24;
 
-/// Digits of a SHA-256 digest; keys are shorter and start with a prefix.
+/// Hexadecimal digits of a SHA-256 digest. Keys are shorter and start with a prefix, so the two
+/// cannot be confused.
 constexpr std::size_t digest_digits = 64;
 
 std::string pretty(const Json::Value& json) {
@@ -91,7 +92,7 @@
     std::stringstream text;
     if (!(text << file.rdbuf())) {
         out_ << path << ": cannot be read; check the path\n";
-        return mistakes;
+        return invalid_input;
     }
     const auto document = session_.document();
     if (!document) {
@@ -100,14 +101,14 @@
     auto edit = read_edit(text.str(), document.value());
     if (!edit) {
         out_ << path << ": " << edit.error().message() << '\n';
-        return mistakes;
+        return invalid_input;
     }
     for (const auto& [line, what] : edit.value().problems) {
         out_ << path << (line == 0 ? "" : ":" + std::to_string(line)) << ": " << what.text()
              << '\n';
     }
     if (!edit.value().problems.empty()) {
-        return mistakes;
+        return invalid_input;
     }
     out_ << edit.value().changes.size() << " rows to change\n";
     if (only_check || edit.value().changes.empty()) {
@@ -149,14 +150,14 @@
     const auto found = std::find_if(edits.begin(), edits.end(),
                                     [&](const auto& edit) { return edit.revision == at; });
     if (found == edits.end()) {
-        out_ << "revision " << at << " is not kept; `history` lists the edits\n";
+        out_ << "revision " << at << " is not in the history; `history` lists the kept edits\n";
         return not_accepted;
     }
-    auto back = inverse(*found, edit_id{});
-    return report(session_.submit(document.value().revision, std::move(back.changes)));
+    auto reverted = inverse(*found, edit_id{});
+    return report(session_.submit(document.value().revision, std::move(reverted.changes)));
 }
 
-exit_code commands::give_key(const std::string& organisation, const std::string& label) {
+exit_code commands::issue_key(const std::string& organisation, const std::string& label) {
     const auto document = session_.document();
     if (!document) {
         return fail(document.error());
@@ -168,12 +169,12 @@
     const auto code = report(outcome);
     if (code == done || code == unsettled) {
         out_ << "key " << key << "\ndigest " << digest_of(key)
-             << "\nthe key is stored nowhere and not shown again\n";
+             << "\nonly the digest is stored; the key is not shown again\n";
     }
     return code;
 }
 
-exit_code commands::withdraw_key(const std::string& key_or_digest) {
+exit_code commands::revoke_key(const std::string& key_or_digest) {
     const auto document = session_.document();
     if (!document) {
         return fail(document.error());
@@ -190,7 +191,8 @@
 
 exit_code commands::settle(const std::string& id) {
     const auto outcome = session_.settle(edit_id{id});
-    // "Not accepted" is the answer here, not a failure of the command.
+    // That the edit was not accepted is a valid answer here, whatever the error kind; `report`
+    // alone would return `unreachable` for `store_unavailable`.
     const auto code = report(outcome);
     return outcome.state == edit_state::not_accepted ? not_accepted : code;
 }
--- a/src/programs/jackdawvanectl/commands.hpp
+++ b/src/programs/jackdawvanectl/commands.hpp
@@ -7,17 +7,17 @@
 
 namespace jackdawvane::ctl {
 
-/// @brief Exit codes of the program.
+/// @brief Exit codes of jackdawvanectl.
 enum exit_code : int {
     done = 0,
-    not_accepted = 1, ///< Conflict, unknown row or revision.
-    mistakes = 2,     ///< Wrong usage, or mistakes in a file; all are printed.
-    unsettled = 3,    ///< Not known whether the edit was accepted; `settle` tells later.
-    unreachable = 4,  ///< The store does not answer; nothing was changed.
-    not_everywhere = 5,
+    not_accepted = 1,   ///< Conflict, unknown row or revision.
+    invalid_input = 2,  ///< Wrong usage or errors in a file; all errors are printed.
+    unsettled = 3,      ///< Outcome of the edit is unknown; `settle` queries it later.
+    unreachable = 4,    ///< The store does not answer; nothing was changed.
+    not_everywhere = 5, ///< At least one VM did not confirm the revision, or none is listed.
 };
 
-/// @brief The subcommands; each prints to one stream and returns an exit code.
+/// @brief The subcommands of jackdawvanectl; each prints its result and returns an exit code.
 class commands {
   public:
     commands(operator_session& session, std::ostream& out) : session_{session}, out_{out} {}
@@ -27,8 +27,8 @@
     exit_code apply_file(const std::string& path);
     exit_code history();
     exit_code undo(revision at);
-    exit_code give_key(const std::string& organisation, const std::string& label);
-    exit_code withdraw_key(const std::string& key_or_digest);
+    exit_code issue_key(const std::string& organisation, const std::string& label);
+    exit_code revoke_key(const std::string& key_or_digest);
     exit_code status();
     exit_code where(revision at);
     exit_code settle(const std::string& id);
--- a/src/programs/jackdawvanectl/fleet_commands.cpp
+++ b/src/programs/jackdawvanectl/fleet_commands.cpp
@@ -6,31 +6,32 @@
 #include "programs/jackdawvanectl/commands.hpp"
 
 /// @file
-/// @brief Subcommands that ask the VMs.
+/// @brief Subcommands that query the VMs.
 
 namespace jackdawvane::ctl {
 
 namespace {
 
-/// What one owner reports about its backend server; absent keys show as 0 or empty.
-struct backend_line {
+/// Status of a backend server as its owner reports it; missing keys print as 0 or empty.
+struct server_report {
     std::string owner;
     Json::Value report;
 };
 
-std::map<std::string, backend_line> backends_in(const vm_entry& vm, const Json::Value& status) {
-    std::map<std::string, backend_line> lines;
+std::map<std::string, server_report> reports_by_server(const vm_entry& vm,
+                                                       const Json::Value& status) {
+    std::map<std::string, server_report> reports;
     for (const auto& report : status["backend_servers"]) {
-        lines[report["backend_server"].asString()] = {vm.vm.str(), report};
+        reports[report["backend_server"].asString()] = {vm.vm.str(), report};
     }
-    return lines;
+    return reports;
 }
 
-std::uint64_t highest_position(const std::map<std::string, backend_line>& lines,
+std::uint64_t highest_position(const std::map<std::string, server_report>& reports,
                                const group_row& group) {
     std::uint64_t highest{0};
     for (const auto& [id, row] : group.backend_servers) {
-        if (const auto found = lines.find(id.str()); found != lines.end()) {
+        if (const auto found = reports.find(id.str()); found != reports.end()) {
             highest = std::max<std::uint64_t>(
                 highest, found->second.report["status"]["position"].asUInt64());
         }
@@ -39,13 +40,13 @@
 }
 
 void print_group(std::ostream& out, const group_id& id, const group_row& group,
-                 const std::map<std::string, backend_line>& lines) {
-    const auto highest = highest_position(lines, group);
+                 const std::map<std::string, server_report>& reports) {
+    const auto highest = highest_position(reports, group);
     out << "  group " << id << '\n';
     for (const auto& [server, row] : group.backend_servers) {
         out << "    " << server << " in " << row.place.domain << ": ";
-        const auto found = lines.find(server.str());
-        if (found == lines.end()) {
+        const auto found = reports.find(server.str());
+        if (found == reports.end()) {
             out << "no owner answers\n";
             continue;
         }
@@ -70,7 +71,7 @@
         return fail(vms.error());
     }
     out_ << "revision " << document.value().revision << '\n';
-    std::map<std::string, backend_line> lines;
+    std::map<std::string, server_report> reports;
     for (const auto& vm : vms.value()) {
         const auto status = operator_session::status_of(vm);
         out_ << "vm " << vm.vm << " in " << vm.place.domain << ": "
@@ -78,7 +79,7 @@
                         : status.error().detail)
              << '\n';
         if (status) {
-            lines.merge(backends_in(vm, status.value()));
+            reports.merge(reports_by_server(vm, status.value()));
         }
     }
     for (const auto& [name, route] : document.value().routes) {
@@ -88,7 +89,7 @@
     for (const auto& [name, pool] : document.value().pools) {
         out_ << "pool " << name << '\n';
         for (const auto& [id, group] : pool.groups) {
-            print_group(out_, id, group, lines);
+            print_group(out_, id, group, reports);
         }
     }
     return done;
@@ -102,12 +103,14 @@
     std::size_t confirmed{0};
     for (const auto& vm : vms.value()) {
         const auto status = operator_session::status_of(vm);
-        const auto present = status ? revision{status.value()["revision"].asUInt64()} : revision{};
-        confirmed += present >= at ? 1 : 0;
+        const auto vm_revision =
+            status ? revision{status.value()["revision"].asUInt64()} : revision{};
+        confirmed += vm_revision >= at ? 1 : 0;
         out_ << vm.vm << ": "
-             << (!status         ? "not confirmed, " + status.error().detail
-                 : present >= at ? "in force"
-                                 : "not in force, at revision " + std::to_string(present.value()))
+             << (!status ? "not confirmed, " + status.error().detail
+                 : vm_revision >= at
+                     ? "in force"
+                     : "not in force, at revision " + std::to_string(vm_revision.value()))
              << '\n';
     }
     out_ << "revision " << at << " in force at " << confirmed << " of " << vms.value().size()
--- a/src/programs/jackdawvanectl/http.cpp
+++ b/src/programs/jackdawvanectl/http.cpp
@@ -14,29 +14,33 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-/// Largest answer: a document of 1 MB as a JSON string within the store's answer, twice over.
-constexpr std::uint64_t body_limit = 4'000'000;
+/// Largest accepted response body: twice what the store's answer needs for a document of 1 MB,
+/// which is embedded as a JSON string.
+constexpr std::uint64_t max_answer_bytes = 4'000'000;
 
-/// One request on its own connection. Only the asynchronous calls of Beast obey the timeout.
-class exchange_run {
+/// @brief One HTTP request on its own connection.
+///
+/// Uses asynchronous operations, because Beast applies `expires_after` only to these.
+class http_exchange {
   public:
-    exchange_run(const endpoint& remote, http::request<http::string_body> request)
+    http_exchange(const endpoint& remote, http::request<http::string_body> request)
         : remote_{boost::asio::ip::make_address(remote.address), remote.port}, request_{std::move(
                                                                                    request)} {
-        parser_.body_limit(body_limit);
+        parser_.body_limit(max_answer_bytes);
     }
 
     beast::error_code run(duration timeout) {
         stream_.expires_after(timeout);
-        stream_.async_connect(remote_, [this](beast::error_code failed) {
-            if (!proceed(failed)) {
+        stream_.async_connect(remote_, [this](beast::error_code failure) {
+            if (!succeeded(failure)) {
                 return;
             }
-            http::async_write(stream_, request_, [this](beast::error_code wrong, std::size_t) {
-                if (proceed(wrong)) {
-                    read();
-                }
-            });
+            http::async_write(stream_, request_,
+                              [this](beast::error_code write_failure, std::size_t) {
+                                  if (succeeded(write_failure)) {
+                                      read();
+                                  }
+                              });
         });
         context_.run();
         return error_;
@@ -44,13 +48,13 @@
     [[nodiscard]] const http::response<http::string_body>& answer() const { return parser_.get(); }
 
   private:
-    bool proceed(beast::error_code failed) {
-        error_ = failed;
-        return !failed;
+    bool succeeded(beast::error_code failure) {
+        error_ = failure;
+        return !failure;
     }
     void read() {
         http::async_read(stream_, buffer_, parser_,
-                         [this](beast::error_code failed, std::size_t) { proceed(failed); });
+                         [this](beast::error_code failure, std::size_t) { succeeded(failure); });
     }
 
     boost::asio::io_context context_{1};
@@ -64,27 +68,28 @@
 
 } // namespace
 
-result<std::string> exchange(const endpoint& remote, const std::string& method,
-                             const std::string& target, const std::string& body, duration timeout) {
+result<std::string> send_request(const endpoint& remote, const std::string& method,
+                                 const std::string& target, const std::string& body,
+                                 duration timeout) {
     http::request<http::string_body> request{http::string_to_verb(method), target, 11};
     request.set(http::field::host, remote.address + ":" + std::to_string(remote.port));
     request.set(http::field::content_type, "application/json");
     request.body() = body;
     request.prepare_payload();
-    const auto where = remote.address + ":" + std::to_string(remote.port) + target;
+    const auto url = remote.address + ":" + std::to_string(remote.port) + target;
     try {
-        exchange_run run{remote, std::move(request)};
-        if (const auto failed = run.run(timeout)) {
-            return error{error_kind::store_unavailable, where + ": " + failed.message(), {}};
+        http_exchange run{remote, std::move(request)};
+        if (const auto failure = run.run(timeout)) {
+            return error{error_kind::store_unavailable, url + ": " + failure.message(), {}};
         }
         if (run.answer().result() != http::status::ok) {
             return error{error_kind::store_unavailable,
-                         where + " answers " + std::to_string(run.answer().result_int()),
+                         url + " answers " + std::to_string(run.answer().result_int()),
                          {}};
         }
         return run.answer().body();
-    } catch (const boost::system::system_error& wrong) {
-        return error{error_kind::store_unavailable, where + ": " + wrong.what(), {}};
+    } catch (const boost::system::system_error& exception) {
+        return error{error_kind::store_unavailable, url + ": " + exception.what(), {}};
     }
 }
 
--- a/src/programs/jackdawvanectl/http.hpp
+++ b/src/programs/jackdawvanectl/http.hpp
@@ -7,11 +7,12 @@
 
 namespace jackdawvane::ctl {
 
-/// @brief Sends one HTTP request and waits for its answer.
-/// @param timeout longest time for connection, request and answer together
-/// @return the body of a 200 answer; `store_unavailable` when there is none in time
-[[nodiscard]] result<std::string> exchange(const endpoint& remote, const std::string& method,
-                                           const std::string& target, const std::string& body,
-                                           duration timeout);
+/// @brief Sends one HTTP request and waits for the response.
+/// @param timeout limit for connecting, sending the request and reading the response together
+/// @return body of a 200 response; `store_unavailable` on a timeout, a connection error or another
+///         status
+[[nodiscard]] result<std::string> send_request(const endpoint& remote, const std::string& method,
+                                               const std::string& target, const std::string& body,
+                                               duration timeout);
 
 } // namespace jackdawvane::ctl
--- a/src/programs/jackdawvanectl/operator_session.hpp
+++ b/src/programs/jackdawvanectl/operator_session.hpp
@@ -7,27 +7,27 @@
 
 namespace jackdawvane::ctl {
 
-/// @brief Connection of the operator's tool to the platform's store and to the VMs.
+/// @brief Access of jackdawvanectl to the platform's store and to the VMs.
 class operator_session {
   public:
     /// @param store address of the platform's store
-    /// @param operator_name name that the edits carry
+    /// @param operator_name recorded in the edits
     operator_session(endpoint store, std::string operator_name);
 
-    /// @brief Document as it is stored; the empty one when there is none.
+    /// @brief Reads the stored document; an empty one when there is none.
     [[nodiscard]] result<configuration_document> document();
 
     /// @brief Submits @a changes as one edit and waits for its outcome.
-    /// @param seen revision that the changes were made from; becomes a part of the edit's id
-    [[nodiscard]] edit_outcome submit(revision seen, std::vector<row_change> changes);
+    /// @param base_revision revision that the changes are based on; becomes a part of the edit's id
+    [[nodiscard]] edit_outcome submit(revision base_revision, std::vector<row_change> changes);
 
-    /// @brief Finds out what became of an earlier edit.
+    /// @brief Queries the outcome of an earlier edit.
     [[nodiscard]] edit_outcome settle(const edit_id& id);
 
-    /// @brief The platform's VM list.
+    /// @brief Reads the platform's VM list.
     [[nodiscard]] result<std::vector<vm_entry>> vms();
 
-    /// @brief Answer of a VM to `/admin/status`.
+    /// @brief Queries `/admin/status` of a VM.
     [[nodiscard]] static result<Json::Value> status_of(const vm_entry& vm);
 
   private:
@@ -41,7 +41,7 @@
     configuration_editor editor_;
 };
 
-/// @brief Random bytes of OpenSSL as lower-case hexadecimal digits.
+/// @brief Returns random bytes from OpenSSL as lower-case hexadecimal digits.
 [[nodiscard]] std::string random_hex(std::size_t bytes);
 
 } // namespace jackdawvane::ctl
--- a/tests/adapters/jackdawvanectl_test.cpp
+++ b/tests/adapters/jackdawvanectl_test.cpp
@@ -21,7 +21,7 @@
 namespace http = boost::beast::http;
 using boost::asio::ip::tcp;
 
-/// Store and VMs on one loopback port, for one request per connection.
+/// Serves the store and the VMs on one loopback port, with one request per connection.
 class fake_platform {
   public:
     fake_platform() : thread_{[this] { serve(); }} {}
@@ -37,7 +37,7 @@
     }
 
     std::atomic<bool> stopping{false};
-    std::atomic<int> lost_writes{0}; ///< Writes that take effect without an answer.
+    std::atomic<int> lost_writes{0}; ///< Number of writes to apply without an answer.
     std::string value{document_text(sample_document())};
     std::uint64_t version{1};
     std::vector<vm_entry> vms;
@@ -65,7 +65,7 @@
     }
     std::optional<std::string> answer_to(const http::request<http::string_body>& request) {
         if (request.target() == "/admin/status") {
-            // The keys are those of the daemon: node_impl, owned_backends and backend_owner.
+            // Has the keys that node_impl, owned_backends and backend_owner of the daemon write.
             return R"({"revision":1,"backend_servers":[{"backend_server":"b1","term":3,)"
                    R"("reachable":true,"status":{"role":"primary","position":9}}]})";
         }
@@ -90,40 +90,41 @@
     std::thread thread_;
 };
 
-struct tool {
+struct ctl_fixture {
     fake_platform platform;
     operator_session session{platform.address(), "ana"};
     std::ostringstream out;
-    commands on{session, out};
+    commands runner{session, out};
 };
 
-/// Guards against a key that is stored in clear, shown twice, or still works when withdrawn.
+/// Guards against a key that is stored in plain text, shown twice, or still accepted when
+/// withdrawn.
 TEST(Jackdawvanectl, KeyIsGivenOnceAndWithdrawn) {
-    tool used;
-    ASSERT_EQ(used.on.give_key("depot", "office"), done) << used.out.str();
-    const auto text = used.out.str();
+    ctl_fixture fixture;
+    ASSERT_EQ(fixture.runner.issue_key("depot", "office"), done) << fixture.out.str();
+    const auto text = fixture.out.str();
     const auto key = text.substr(text.find("jdv-"), 52);
-    const auto document = parse_document(used.platform.value).value();
+    const auto document = parse_document(fixture.platform.value).value();
     EXPECT_EQ(key_registry{document}.authenticate(key).value(), organisation_id{"depot"});
-    EXPECT_EQ(used.platform.value.find(key), std::string::npos);
-    EXPECT_EQ(used.on.withdraw_key(key), done);
-    EXPECT_EQ(used.on.withdraw_key(key), not_accepted);
-    const auto after = parse_document(used.platform.value).value();
+    EXPECT_EQ(fixture.platform.value.find(key), std::string::npos);
+    EXPECT_EQ(fixture.runner.revoke_key(key), done);
+    EXPECT_EQ(fixture.runner.revoke_key(key), not_accepted);
+    const auto after = parse_document(fixture.platform.value).value();
     EXPECT_EQ(key_registry{after}.authenticate(key).error().kind, error_kind::unknown_key);
-    EXPECT_EQ(used.on.undo(revision{3}), done);
-    EXPECT_EQ(used.on.give_key("nobody", ""), not_accepted);
+    EXPECT_EQ(fixture.runner.undo(revision{3}), done);
+    EXPECT_EQ(fixture.runner.issue_key("nobody", ""), not_accepted);
 }
 
-/// Guards against an accepted edit that is reported as lost when the store's answer is lost.
+/// Guards against reporting an accepted edit as failed when the store's answer to it is lost.
 TEST(Jackdawvanectl, LostAnswerIsSettledByReadingBack) {
-    tool used;
-    used.platform.lost_writes = 1;
-    EXPECT_EQ(used.on.give_key("depot", ""), done) << used.out.str();
-    EXPECT_EQ(parse_document(used.platform.value).value().recent_edits.size(), 1U);
-    EXPECT_EQ(used.on.settle("e1-0"), not_accepted);
+    ctl_fixture fixture;
+    fixture.platform.lost_writes = 1;
+    EXPECT_EQ(fixture.runner.issue_key("depot", ""), done) << fixture.out.str();
+    EXPECT_EQ(parse_document(fixture.platform.value).value().recent_edits.size(), 1U);
+    EXPECT_EQ(fixture.runner.settle("e1-0"), not_accepted);
 }
 
-/// Guards against a mistake whose place in the file the operator has to search for.
+/// Guards against errors in an edit file that are reported without their line.
 TEST(Jackdawvanectl, EveryMistakeIsReportedWithItsLine) {
     const auto edit = read_edit("// note\n{\"routes\": {\n\"r\": {\"pool\":\n\"none\"}},\n"
                                 "\"organisations\": {\"depot\": {\"rate\": 1,\n\"burst\": 0}}}",
@@ -134,33 +135,33 @@
     EXPECT_EQ(edit.value().problems[1].line, 6U);
 }
 
-/// Guards against a file that is applied in part, and against needless edits.
+/// Guards against an edit file that is applied in part, and against edits that change nothing.
 TEST(Jackdawvanectl, FileIsAppliedAsAWholeOrNotAtAll) {
-    tool used;
+    ctl_fixture fixture;
     const auto path = testing::TempDir() + "jackdawvanectl_test.json";
     std::ofstream{path} << R"({"organisations":{"depot":{"rate":7,"burst":5},"x":{"rate":0}}})";
-    EXPECT_EQ(used.on.apply_file(path), mistakes);
-    EXPECT_EQ(used.platform.version, 1U);
+    EXPECT_EQ(fixture.runner.apply_file(path), invalid_input);
+    EXPECT_EQ(fixture.platform.version, 1U);
     std::ofstream{path} << R"({"organisations":{"depot":{"rate":7,"burst":5},"harbour":null}})";
-    EXPECT_EQ(used.on.check(path), done);
-    EXPECT_EQ(used.platform.version, 1U);
-    EXPECT_EQ(used.on.apply_file(path), done) << used.out.str();
-    EXPECT_EQ(used.on.apply_file(path), done);
-    EXPECT_EQ(used.platform.version, 2U);
+    EXPECT_EQ(fixture.runner.check(path), done);
+    EXPECT_EQ(fixture.platform.version, 1U);
+    EXPECT_EQ(fixture.runner.apply_file(path), done) << fixture.out.str();
+    EXPECT_EQ(fixture.runner.apply_file(path), done);
+    EXPECT_EQ(fixture.platform.version, 2U);
     std::remove(path.c_str());
 }
 
-/// Guards against a revision that counts as in force at a VM that did not confirm it.
+/// Guards against counting a revision as in force at a VM that did not confirm it.
 TEST(Jackdawvanectl, WhereAndStatusNameSilentVms) {
-    tool used;
-    used.platform.vms = {{vm_id{"vm-1"}, {"127.0.0.1", 1}, used.platform.address(), {}, {}}};
-    EXPECT_EQ(used.on.where(revision{1}), done) << used.out.str();
-    EXPECT_EQ(used.on.where(revision{2}), not_everywhere);
-    used.platform.vms.push_back({vm_id{"vm-2"}, {"127.0.0.1", 1}, {"127.0.0.1", 1}, {}, {}});
-    EXPECT_EQ(used.on.where(revision{1}), not_everywhere);
-    EXPECT_NE(used.out.str().find("vm-2: not confirmed"), std::string::npos);
-    EXPECT_EQ(used.on.status(), done);
-    EXPECT_NE(used.out.str().find("primary, term 3, position 9, lag 0, owner vm-1"),
+    ctl_fixture fixture;
+    fixture.platform.vms = {{vm_id{"vm-1"}, {"127.0.0.1", 1}, fixture.platform.address(), {}, {}}};
+    EXPECT_EQ(fixture.runner.where(revision{1}), done) << fixture.out.str();
+    EXPECT_EQ(fixture.runner.where(revision{2}), not_everywhere);
+    fixture.platform.vms.push_back({vm_id{"vm-2"}, {"127.0.0.1", 1}, {"127.0.0.1", 1}, {}, {}});
+    EXPECT_EQ(fixture.runner.where(revision{1}), not_everywhere);
+    EXPECT_NE(fixture.out.str().find("vm-2: not confirmed"), std::string::npos);
+    EXPECT_EQ(fixture.runner.status(), done);
+    EXPECT_NE(fixture.out.str().find("primary, term 3, position 9, lag 0, owner vm-1"),
               std::string::npos);
 }
 
