--- a/src/programs/jackdawvane-load.cpp
+++ b/src/programs/jackdawvane-load.cpp
@@ -34,14 +34,14 @@
 
 using option_values = std::map<std::string, docopt::value>;
 
-constexpr int checks_failed = 2;
+constexpr int exit_checks_failed = 2;
 
 template <class Work>
-Json::Value complete(asio::io_context& io, Work work) {
+Json::Value run_to_completion(asio::io_context& io, Work work) {
     Json::Value results;
     std::exception_ptr failure;
-    asio::co_spawn(io, std::move(work), [&](std::exception_ptr raised, Json::Value value) {
-        failure = std::move(raised);
+    asio::co_spawn(io, std::move(work), [&](std::exception_ptr exception, Json::Value value) {
+        failure = std::move(exception);
         results = std::move(value);
         io.stop();
     });
@@ -68,14 +68,14 @@
     for (const auto& after : options["--fault-at"].asStringList()) {
         load.add_mark(milliseconds{std::stol(after)});
     }
-    auto results = complete(io, load.run());
+    auto results = run_to_completion(io, load.run());
     std::cout << results_table(results);
     return results;
 }
 
 Json::Value run_comparison(asio::io_context& io, option_values& options) {
     auto settings = read_settings<direct_settings>(options["--settings"].asString());
-    auto results = complete(io, run_direct(io, std::move(settings)));
+    auto results = run_to_completion(io, run_direct(io, std::move(settings)));
     std::cout << results.toStyledString();
     return results;
 }
@@ -91,6 +91,6 @@
         if (options["--output"]) {
             std::ofstream{options["--output"].asString()} << results.toStyledString();
         }
-        return has_failed_check(results) ? checks_failed : 0;
+        return has_failed_check(results) ? exit_checks_failed : 0;
     });
 }
--- a/src/programs/jackdawvaned.cpp
+++ b/src/programs/jackdawvaned.cpp
@@ -32,7 +32,7 @@
 )";
 constexpr auto version = "jackdawvaned 0.1.0";
 constexpr int exit_invalid_settings = 2;
-constexpr int exit_at_once = 3;
+constexpr int exit_second_signal = 3;
 
 int run(const jackdawvane::daemon_settings& settings) {
     boost::asio::io_context context{1};
@@ -42,7 +42,7 @@
     signals.async_wait([&](boost::system::error_code, int) {
         daemon.stop();
         signals.async_wait([&](boost::system::error_code, int) {
-            result = exit_at_once;
+            result = exit_second_signal;
             context.stop();
         });
     });
--- a/src/programs/jackdawvaned/daemon.cpp
+++ b/src/programs/jackdawvaned/daemon.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Lets the last messages to other VMs leave the process.
+// Gives the last messages to other VMs time to be sent.
 constexpr auto exit_delay = std::chrono::milliseconds{100};
 
 http_server_settings caller_server_settings(const daemon_settings& settings) {
@@ -44,13 +44,14 @@
 
 } // namespace
 
-struct entry_daemon::parts {
-    parts(boost::asio::io_context& io, const daemon_settings& settings, const node_factory& make)
-        : context{io}, observed{settings.log}, server{io, caller_server_settings(settings),
-                                                      [this](const http_request_view& request,
-                                                             const http_responder& responder) {
-                                                          api.handle(request, responder);
-                                                      }},
+struct entry_daemon::components {
+    components(boost::asio::io_context& io, const daemon_settings& settings,
+               const node_factory& make)
+        : context{io}, telemetry{settings.log}, server{io, caller_server_settings(settings),
+                                                       [this](const http_request_view& request,
+                                                              const http_responder& responder) {
+                                                           api.handle(request, responder);
+                                                       }},
           peers{io, peer_settings(settings, incarnation), sink()},
           node{make(make_node_settings(settings, server.local_endpoint(), peers.local_endpoint(),
                                        incarnation, random_seed()))},
@@ -58,7 +59,7 @@
           backends{io, {settings.vm, settings.address}, sink()}, store{io, store_settings(settings),
                                                                        sink()},
           api{sink(), *node, [this] { return metrics_text(); }}, exit_timer{io} {
-        host.start({api, backends, store, peers, observed});
+        host.start({api, backends, store, peers, telemetry});
     }
 
     event_sink sink() {
@@ -66,9 +67,9 @@
     }
 
     std::string metrics_text() {
-        peers.traffic().report(observed);
-        observed.report({store.calls(), server.connections(), backends.connections()});
-        return observed.metrics().text();
+        peers.traffic().report(telemetry);
+        telemetry.report({store.calls(), server.connections(), backends.connections()});
+        return telemetry.metrics().text();
     }
 
     void finish() {
@@ -84,7 +85,7 @@
 
     boost::asio::io_context& context;
     vm_incarnation incarnation{current_incarnation()};
-    diagnostics observed;
+    diagnostics telemetry;
     http_server server;
     peer_port_adapter peers;
     std::unique_ptr<node_interface> node;
@@ -97,20 +98,20 @@
 
 entry_daemon::entry_daemon(boost::asio::io_context& context, const daemon_settings& settings,
                            const node_factory& make)
-    : parts_{std::make_unique<parts>(context, settings, make)} {}
+    : components_{std::make_unique<components>(context, settings, make)} {}
 
 entry_daemon::~entry_daemon() = default;
 
 void entry_daemon::stop() {
-    parts_->host.deliver(stop_requested{});
+    components_->host.deliver(stop_requested{});
 }
 
 endpoint entry_daemon::caller_endpoint() const {
-    return parts_->server.local_endpoint();
+    return components_->server.local_endpoint();
 }
 
 endpoint entry_daemon::peer_endpoint() const {
-    return parts_->peers.local_endpoint();
+    return components_->peers.local_endpoint();
 }
 
 } // namespace jackdawvane
--- a/src/programs/jackdawvaned/daemon.hpp
+++ b/src/programs/jackdawvaned/daemon.hpp
@@ -18,7 +18,7 @@
   public:
     using node_factory = std::function<std::unique_ptr<node_interface>(const node_settings&)>;
 
-    /// @throws std::runtime_error when a port cannot be listened on
+    /// @throws std::runtime_error when listening on a port fails
     entry_daemon(boost::asio::io_context& context, const daemon_settings& settings,
                  const node_factory& make);
     entry_daemon(const entry_daemon&) = delete;
@@ -27,17 +27,17 @@
     entry_daemon& operator=(entry_daemon&&) = delete;
     ~entry_daemon();
 
-    /// @brief Begins the graceful shutdown; the context stops after its end.
+    /// @brief Starts the graceful shutdown, after which the io_context is stopped.
     void stop();
 
-    /// @brief Where callers and operators connect to.
+    /// @brief Endpoint that callers and operators connect to.
     [[nodiscard]] endpoint caller_endpoint() const;
-    /// @brief Where other VMs connect to.
+    /// @brief Endpoint that other VMs connect to.
     [[nodiscard]] endpoint peer_endpoint() const;
 
   private:
-    struct parts;
-    std::unique_ptr<parts> parts_;
+    struct components;
+    std::unique_ptr<components> components_;
 };
 
 } // namespace jackdawvane
--- a/src/programs/jackdawvaned/daemon_settings.cpp
+++ b/src/programs/jackdawvaned/daemon_settings.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t shortest_secret = 16; // characters
+constexpr std::size_t min_secret_length = 16; // characters
 
 struct interval_entry {
     const char* key;
@@ -33,15 +33,15 @@
     interval_entry{"drain_timeout_ms", &interval_settings::drain_timeout_ms,
                    &node_settings::drain_timeout}};
 
-bool is_ip_number(const std::string& text) {
+bool is_ip_address(const std::string& text) {
     boost::system::error_code failure;
     boost::asio::ip::make_address(text, failure);
     return !failure;
 }
 
 void check_endpoint(const char* key, const endpoint& value, decode_problems& problems) {
-    if (!value.address.empty() && !is_ip_number(value.address)) {
-        problems.push_back({key, "must have an IP number, not a name", 0});
+    if (!value.address.empty() && !is_ip_address(value.address)) {
+        problems.push_back({key, "must have an IP address, not a host name", 0});
     }
 }
 
@@ -61,10 +61,10 @@
 }
 
 void daemon_settings::check(decode_problems& problems) const {
-    if (!address.empty() && !is_ip_number(address)) {
-        problems.push_back({"address", "must be an IP number of this machine", 0});
+    if (!address.empty() && !is_ip_address(address)) {
+        problems.push_back({"address", "must be an IP address of this VM", 0});
     }
-    if (!peer_secret.empty() && peer_secret.size() < shortest_secret) {
+    if (!peer_secret.empty() && peer_secret.size() < min_secret_length) {
         problems.push_back({"peer_secret", "must have at least 16 characters", 0});
     }
     if (intervals.lease_duration_ms < 2 * intervals.lease_renewal_ms) {
--- a/src/programs/jackdawvaned/daemon_settings.hpp
+++ b/src/programs/jackdawvaned/daemon_settings.hpp
@@ -21,7 +21,7 @@
     std::uint32_t token_wait_ms{};
     std::uint32_t drain_timeout_ms{};
 
-    /// @brief Starts with the defaults of `node_settings`.
+    /// @brief Takes the defaults of `node_settings`.
     interval_settings();
 
     static constexpr auto fields() {
@@ -41,11 +41,11 @@
     vm_id vm;
     region_id region;
     failure_domain_id failure_domain;
-    std::string address; ///< IP number to listen on and to connect from.
+    std::string address; ///< IP address to listen on and to connect from.
     std::uint16_t caller_port{0};
     std::uint16_t peer_port{0};
-    std::optional<endpoint> advertised_caller; ///< Where callers reach this VM if not there.
-    std::optional<endpoint> advertised_peer;   ///< Where other VMs reach it if not there.
+    std::optional<endpoint> advertised_caller; ///< Endpoint for callers if not the listening one.
+    std::optional<endpoint> advertised_peer;   ///< Endpoint for other VMs if not the listening one.
     endpoint store;
     std::vector<endpoint> seeds; ///< Peer endpoints of some other VMs.
     std::string peer_secret;     ///< Shared by the fleet.
@@ -73,11 +73,11 @@
     /// @brief Keys that have no default.
     [[nodiscard]] static std::vector<const char*> required();
 
-    /// @brief Appends the mistakes in the values to @a problems.
+    /// @brief Appends the errors in the values to @a problems.
     void check(decode_problems& problems) const;
 };
 
-/// @brief Settings of the node of a daemon that listens on the given endpoints.
+/// @brief Makes the node settings of a daemon that listens on @a caller and @a peer.
 /// @param incarnation higher than that of every earlier process of this VM
 [[nodiscard]] node_settings make_node_settings(const daemon_settings& settings,
                                                const endpoint& caller, const endpoint& peer,
--- a/tests/adapters/daemon_test.cpp
+++ b/tests/adapters/daemon_test.cpp
@@ -9,11 +9,11 @@
 namespace jackdawvane {
 namespace {
 
-/// Node that answers each request at once, with its statements as results.
+/// Node that answers each request immediately and returns its statements as results.
 class echo_node final : public node_interface {
   public:
     void handle(time_point now, const event& what, actions& out) override {
-        present_ = now;
+        now_ = now;
         if (const auto* request = std::get_if<caller_request>(&what)) {
             caller_answer answer;
             answer.caller = request->caller;
@@ -36,10 +36,10 @@
     [[nodiscard]] bool ready() const override { return true; }
 
   private:
-    time_point present_;
+    time_point now_;
 };
 
-daemon_settings settings_of_test() {
+daemon_settings test_settings() {
     daemon_settings settings;
     settings.vm = vm_id{"vm-1"};
     settings.address = "127.0.0.7";
@@ -60,11 +60,11 @@
     }
 
     boost::asio::io_context context{1};
-    entry_daemon daemon{context, settings_of_test(),
+    entry_daemon daemon{context, test_settings(),
                         [](const node_settings&) { return std::make_unique<echo_node>(); }};
 };
 
-/// Guards against a daemon whose parts are not connected to each other.
+/// Guards against a daemon whose components are not wired to each other.
 TEST_F(Daemon, ServesCallersAndOperators) {
     loopback::caller caller{context, daemon.caller_endpoint()};
     caller.post("/v1/routes/parts", R"({"statements":["a"]})");
--- a/tests/adapters/settings_reader_test.cpp
+++ b/tests/adapters/settings_reader_test.cpp
@@ -58,7 +58,7 @@
          {"vm.json:1: failure_domain is missing", "vm.json:1: address is missing",
           "vm.json:1: peer_port is missing", "vm.json:2: vm must be a string",
           "vm.json:4: adress is not a known key", "vm.json:5: caller_port must be a whole number",
-          "vm.json:6: store must have an IP number",
+          "vm.json:6: store must have an IP address",
           "vm.json:8: intervals.token_wait_ms must be above 0",
           "vm.json:10: peer_secret must have at least 16"}) {
         EXPECT_NE(text.find(expected), std::string::npos) << expected << " is not in\n" << text;
